--- a/packages/core/src/mountladder/claims/__init__.py
+++ b/packages/core/src/mountladder/claims/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Idempotency keys: at most one run for each
+# __init__.py -- Idempotency keys, each of which runs its request at most once
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Idempotency keys: at most one run for each."""
+"""Idempotency keys, each of which runs its request at most once."""
--- a/packages/core/src/mountladder/claims/claimrow.py
+++ b/packages/core/src/mountladder/claims/claimrow.py
@@ -1,7 +1,7 @@
-# claimrow.py -- The rows that hold claims on keys
+# claimrow.py -- Rows of the store that hold claims on idempotency keys
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
-"""The rows that hold claims on keys."""
+"""Rows of the store that hold claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def claim_write(record: KeyRecord) -> Write:
-    """Return the write that claims a key, which holds only where nobody claimed it."""
+    """Return the write that claims a key, on condition that nobody has claimed it."""
     return Write(claim_key(record.key), record.encode(), ABSENT)
 
 
 def claimed_at(row: Row) -> float:
-    """Return when a claim was made; a row that cannot be read counts as very old."""
+    """Return when a claim was made, or minus infinity for a malformed row."""
     try:
         return KeyRecord.decode(row.value).at_ms
     except BadRowError:
--- a/packages/core/src/mountladder/claims/groupcommit.py
+++ b/packages/core/src/mountladder/claims/groupcommit.py
@@ -1,8 +1,8 @@
-# groupcommit.py -- Many writes in few transactions
+# groupcommit.py -- Commits writes of many requests in shared transactions
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Many writes in few transactions."""
+"""Commits writes of many requests in shared transactions."""
 
 from __future__ import annotations
 
@@ -25,17 +25,23 @@
 class GroupCommit:
     """Commits independent conditional writes of many requests in shared transactions.
 
-    One transaction is in flight at a time, and a pause follows it; what comes meanwhile goes into
-    the next one, so that transactions a second are bounded whatever the load. A write
-    whose condition does not hold is taken out and the others are sent again. A transaction
-    without an answer is sent again unchanged in its parts: a row that holds exactly the value to
-    be written was written by the one whose answer was lost, since every value carries a nonce.
+    One transaction is in flight at a time, followed by a pause; writes that arrive meanwhile go
+    into the next one. This bounds the transactions per second whatever the load. A write whose
+    condition does not hold is removed from the batch, and the others are sent again. The writes of
+    a transaction without an answer are sent again unchanged: if a row then holds exactly the value
+    to be written, the lost transaction wrote it, since every value carries a nonce.
 
     Args:
         table: The table service.
         clock: The clock.
-        metrics: Where transactions are counted.
-        window_ms: The pause after each transaction.
+        metrics: Counts transactions and store errors.
+        window_ms: The pause after each transaction, in milliseconds.
+
+    Attributes:
+        queue: The writes that wait for a transaction, in order.
+        arrived: Set while there may be writes in the queue.
+        transactions: The number of transactions sent.
+        rows: The number of rows written.
     """
 
     def __init__(
@@ -55,12 +61,12 @@
 
         Args:
             write: The write; its value must differ from every other value ever written there.
-            until: How long to try, in the clock's milliseconds.
+            until: The time to stop trying, in the clock's milliseconds.
 
         Raises:
             ConditionFailedError: The condition does not hold.
             StoreUnavailableError: Nothing was written.
-            StoreAmbiguousError: It may have been written, or may yet be.
+            StoreAmbiguousError: The write may have taken effect, or may yet.
         """
         pending = PendingWrite(write, until)
         self.queue.append(pending)
@@ -72,7 +78,7 @@
         return pending.version
 
     def withdraw(self, pending: PendingWrite) -> None:
-        """Give up a write whose time is over while it waits or is on its way."""
+        """Give up a write whose time is over while it is queued or in flight."""
         if pending in self.queue:
             self.queue.remove(pending)
             self.give_up(pending, StoreUnavailableError("the store did not answer in time"))
@@ -81,7 +87,7 @@
             self.give_up(pending, StoreAmbiguousError("the store did not answer in time"))
 
     def run(self) -> None:
-        """Commit what is submitted, for ever."""
+        """Commit submitted writes, for ever."""
         while True:
             self.arrived.wait()
             self.commit(self.take())
@@ -90,7 +96,7 @@
             self.clock.sleep(self.window_ms)
 
     def take(self) -> list[PendingWrite]:
-        """Take the next batch; a row stands in a batch once."""
+        """Remove the next batch from the queue, with at most one write for each row."""
         batch: dict[str, PendingWrite] = {}
         rest: list[PendingWrite] = []
         while self.queue and len(batch) < MOST_IN_BATCH:
@@ -130,7 +136,7 @@
         return [pending for pending in batch if not pending.settled.is_set()]
 
     def settle_failed(self, pending: PendingWrite) -> None:
-        """Find out whether a condition fails because the write took effect already."""
+        """Settle a write whose condition failed, maybe because it took effect before."""
         try:
             row = self.table.read(pending.write.key)
         except StoreUnavailableError as error:
@@ -146,7 +152,7 @@
     def put_back(
         self, batch: list[PendingWrite], error: StoreUnavailableError | StoreAmbiguousError
     ) -> None:
-        """Pause, and put the writes that still have time back into the queue."""
+        """Pause, and requeue the writes that still have time."""
         self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
         for pending in batch:
             pending.ambiguous = pending.ambiguous or isinstance(error, StoreAmbiguousError)
@@ -162,7 +168,7 @@
     def give_up(
         self, pending: PendingWrite, error: StoreUnavailableError | StoreAmbiguousError
     ) -> None:
-        """Settle a write whose outcome will not be known in time."""
+        """Settle a write whose outcome will not be known in time, with an error."""
         if pending.ambiguous:
             pending.fail(StoreAmbiguousError(error.detail))
         else:
--- a/packages/core/src/mountladder/claims/idempotency.py
+++ b/packages/core/src/mountladder/claims/idempotency.py
@@ -1,8 +1,8 @@
-# idempotency.py -- Non-idempotent requests run at most once
+# idempotency.py -- Runs non-idempotent requests at most once, by their idempotency keys
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Non-idempotent requests run at most once."""
+"""Runs non-idempotent requests at most once, by their idempotency keys."""
 
 from __future__ import annotations
 
@@ -37,33 +37,39 @@
 from mountladder.store.table import Table
 from mountladder.store.write import Write
 
+# Issued keys that are older are not run.
 ISSUED_KEEP_MS = 3_600_000.0
+# Fraction of a request's remaining time that may be spent on the claim.
 CLAIM_SHARE = 0.5
+# How long writes that no caller waits for are tried.
 SETTLE_MS = 60_000.0
 LONGEST_KEY = 200
 RETRY_AFTER_MS = 1_000.0
 
 
 class Idempotency:
-    """Decides for each key whether its request runs here, has run, or must be refused.
+    """Decides for each key whether its request runs here, is answered from a record, or is refused.
 
-    A key that an instance issued may be run by that incarnation alone, so its memory decides and
-    no store is needed. Any other key must first be claimed by a row of the store that was absent.
-    A claim is never taken over: where its holder is gone, the outcome is unknown.
+    A key issued by an instance may be run by that incarnation only, so its memory decides and no
+    store is needed. Any other key must first be claimed by inserting a row into the store. A claim
+    is never taken over: if its holder is gone, the outcome is unknown.
 
     Args:
         instance: The name of this instance.
-        incarnation: Its incarnation.
-        secret: The fleet's key, which seals issued keys.
-        book: The keys held in memory.
+        incarnation: The incarnation of this instance.
+        secret: The fleet's key, which authenticates issued keys.
+        book: The records of keys in memory.
         commits: Writes claims.
         table: Reads claims.
         clock: The clock.
-        metrics: Where claims are counted.
+        metrics: Counts claims, replays and store errors.
 
     Attributes:
-        tasks: Writes on their way that no caller waits for.
-        alive: Tells whether an incarnation is believed to be alive.
+        versions: The versions of the claim rows of running requests, by key.
+        tasks: Background writes that no caller waits for.
+        forgotten_until: The latest issue time, in the clock's milliseconds, of the issued keys
+            whose records were evicted.
+        alive: Returns whether an incarnation is believed to be alive.
     """
 
     def __init__(
@@ -98,11 +104,11 @@
         return key.text(self.secret, team)
 
     def decide(self, request: Request) -> KeyDecision:
-        """Decide what is to be done with a request that has a key.
+        """Decide what to do with a request that has a key, after a running one has finished.
 
         Raises:
-            RefusalError: It did not run and must not run now.
-            RunError: It may have run, or runs.
+            RefusalError: The request did not run and must not run now.
+            RunError: The request may have run, or is running.
         """
         key = full_key(request)
         known = self.book.find(key)
@@ -120,7 +126,7 @@
         return self.decide_claimed(request)
 
     def decide_issued(self, request: Request) -> KeyDecision:
-        """Decide on a key that was issued and is not known here."""
+        """Decide on an issued key that has no record here."""
         issued = IssuedKey.parse(request.key, self.secret, request.team.name)
         if issued.incarnation != self.incarnation:
             return KeyDecision(home=issued)
@@ -130,7 +136,7 @@
         return KeyDecision(run=self.hold(request))
 
     def decide_claimed(self, request: Request) -> KeyDecision:
-        """Claim a caller's own key in the store."""
+        """Claim a caller's own key in the store and decide on its request."""
         record = self.hold(request)
         now = self.clock.now()
         until = now + max(0.0, request.deadline - now) * CLAIM_SHARE
@@ -153,9 +159,10 @@
         return KeyDecision(run=record)
 
     def forgotten(self, key: str) -> None:
-        """Note that the record of a key was dropped.
+        """Note that the record of a key was evicted.
 
-        No key that was issued until then is run any more, since it may be one of those dropped.
+        Issued keys as old as that one or older are not run any more, since their records may have
+        been evicted too.
         """
         own = key.partition("/")[2]
         if is_issued(own):
@@ -163,7 +170,7 @@
             self.forgotten_until = max(self.forgotten_until, at_ms)
 
     def hold(self, request: Request) -> KeyRecord:
-        """Hold a key in memory, so that repeats here attach to its request."""
+        """Record a key as running, so that repeats of the request on this instance wait for it."""
         record = KeyRecord(
             full_key(request),
             uuid.uuid4().hex,
@@ -175,11 +182,11 @@
         return record
 
     def store_needed(self, error: MountladderError) -> RefusalError:
-        """Return the refusal of a request whose key cannot be claimed."""
+        """Return the error for a request whose key cannot be claimed."""
         return RefusalError(error.detail, Code.STORE_NEEDED, retry_after_ms=RETRY_AFTER_MS)
 
     def repeat_of_claim(self, key: str, request: Request) -> KeyDecision:
-        """Decide on a request whose key is claimed in the store already."""
+        """Decide on a request whose key has been claimed in the store."""
         try:
             row = self.table.read(claim_key(key))
         except StoreUnavailableError as error:
@@ -189,11 +196,11 @@
         return self.repeat(KeyRecord.decode(row.value), request)
 
     def repeat(self, known: KeyRecord, request: Request) -> KeyDecision:
-        """Decide on a request whose key is known.
+        """Decide on a request whose key has a record.
 
         Raises:
             RefusalError: The key belongs to another request.
-            RunError: It runs, failed, or its outcome is not known.
+            RunError: The request is running, has failed, or its outcome is not known.
         """
         self.check_fingerprint(known, request)
         if known.state is KeyState.DONE and known.answer is not None:
@@ -206,16 +213,16 @@
         raise RunError("", Code.KEY_OUTCOME_UNKNOWN)
 
     def check_fingerprint(self, known: KeyRecord, request: Request) -> None:
-        """Refuse a key that was used for a request with another body."""
+        """Refuse a key that was used for another request."""
         if known.fingerprint != request.fingerprint:
             raise RefusalError("", Code.KEY_REUSED)
 
     def finish(self, record: KeyRecord, answer: bytes) -> None:
-        """Record a whole answer, in memory at once and then in the store."""
+        """Record a complete answer, in memory at once and in the store in the background."""
         self.end(dataclasses.replace(record, state=KeyState.DONE, answer=answer))
 
     def fail(self, record: KeyRecord, error: MountladderError, dispatched: bool) -> None:
-        """Record a failure; a request of which no stage was dispatched gives its key back."""
+        """Record a failure, or release the key if no stage of the request was dispatched."""
         if not dispatched:
             self.release(record)
             return
@@ -224,21 +231,21 @@
         self.end(dataclasses.replace(record, state=state, code=error.code, detail=error.detail))
 
     def end(self, record: KeyRecord) -> None:
-        """Record the end of a request that ran."""
+        """Record the outcome of a request that ran."""
         self.book.end(record)
         version = self.versions.pop(record.key, None)
         write = Write(claim_key(record.key), record.encode(), version)
         self.tasks.spawn(self.try_write, write)
 
     def release(self, record: KeyRecord) -> None:
-        """Give back a key whose request did not run."""
+        """Release a key whose request did not run."""
         self.book.drop(record.key)
         version = self.versions.pop(record.key, None)
         if version is not None:
             self.tasks.spawn(self.try_write, Write(claim_key(record.key), None, version))
 
     def settle_claim(self, record: KeyRecord) -> None:
-        """Give back a claim of which it is not known whether it was written."""
+        """Release a claim that may or may not have been written."""
         write = claim_write(record)
         try:
             version = self.commits.submit(write, self.clock.now() + SETTLE_MS)
@@ -247,17 +254,17 @@
         self.try_write(Write(write.key, None, version))
 
     def try_write(self, write: Write) -> None:
-        """Write to the store where it can be reached; safety does not depend on it."""
+        """Write to the store if it can be reached; at-most-once does not depend on it."""
         try:
             self.commits.submit(write, self.clock.now() + SETTLE_MS)
         except (ConditionFailedError, StoreUnavailableError, StoreAmbiguousError) as error:
             self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
 
     def answer_of(self, request: Request) -> KeyDecision:
-        """Look in the store for the answer to a key whose home is gone.
+        """Read the answer to an issued key from the store, as its issuing instance is gone.
 
         Raises:
-            RunError: It is not there; whether it ran cannot be known.
+            RunError: There is no record; whether the request ran cannot be known.
         """
         try:
             row = self.table.read(claim_key(full_key(request)))
@@ -268,7 +275,15 @@
         return self.repeat(KeyRecord.decode(row.value), request)
 
     def sweep(self, after: str, keep_ms: float, page: int) -> str:
-        """Delete the old claims of one page of rows; return where the next page starts.
+        """Delete the expired claims of one page of rows.
+
+        Args:
+            after: The key that the page starts after.
+            keep_ms: The age from which a claim is expired.
+            page: The number of rows in a page.
+
+        Returns:
+            The key that the next page starts after, or an empty string after the last page.
 
         Raises:
             StoreUnavailableError: The store cannot be reached.
@@ -290,7 +305,7 @@
     """Check the form of an Idempotency-Key.
 
     Raises:
-        RefusalError: It is too long or holds other than visible ASCII characters.
+        RefusalError: The key is too long or has characters other than visible ASCII.
     """
     if len(text) > LONGEST_KEY or not text.isascii() or not text.isprintable() or " " in text:
         raise RefusalError(f"expected up to {LONGEST_KEY} visible characters", Code.KEY_INVALID)
--- a/packages/core/src/mountladder/claims/issuedkey.py
+++ b/packages/core/src/mountladder/claims/issuedkey.py
@@ -1,8 +1,8 @@
-# issuedkey.py -- A key that an instance issued
+# issuedkey.py -- Idempotency keys that an instance issues
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A key that an instance issued."""
+"""Idempotency keys that an instance issues."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from mountladder.errors import RefusalError
 
 PREFIX = "ml1"
+# Length of the truncated MAC in hexadecimal digits.
 MAC_DIGITS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class IssuedKey:
-    """A key that names the only incarnation that may run its request.
+    """An idempotency key that names the only incarnation that may run its request.
 
-    Since no other incarnation ever runs it, its claim needs no write to the store.
+    Since no other incarnation ever runs it, no claim has to be written to the store.
 
     Attributes:
         instance: The name of the instance that issued it.
-        incarnation: Its incarnation.
-        number: A number that the incarnation never gives twice.
+        incarnation: The incarnation of that instance.
+        number: A number that is unique within the incarnation.
         at_ms: When it was issued, by the incarnation's own monotonic clock, in milliseconds.
     """
 
@@ -36,13 +37,13 @@
     at_ms: int
 
     def text(self, secret: bytes, team: str) -> str:
-        """Return the key as callers see it, sealed for one team."""
+        """Return the key as callers see it, authenticated for one team."""
         body = f"{PREFIX}~{self.instance}~{self.incarnation}~{self.number}~{self.at_ms}"
         return f"{body}~{_mac(body, secret, team)}"
 
     @classmethod
     def parse(cls, text: str, secret: bytes, team: str) -> IssuedKey:
-        """Read a key and check its seal.
+        """Parse a key and verify its MAC.
 
         Raises:
             RefusalError: The key was not issued to this team by this fleet.
@@ -55,7 +56,7 @@
 
 
 def is_issued(text: str) -> bool:
-    """Tell whether a key claims to be an issued one."""
+    """Return whether a key has the form of an issued one; its MAC is not verified."""
     return text.startswith(PREFIX + "~")
 
 
--- a/packages/core/src/mountladder/claims/keybook.py
+++ b/packages/core/src/mountladder/claims/keybook.py
@@ -1,8 +1,8 @@
-# keybook.py -- The idempotency keys that an instance holds
+# keybook.py -- In-memory records of the idempotency keys of one incarnation
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The idempotency keys that an instance holds."""
+"""In-memory records of the idempotency keys of one incarnation."""
 
 from __future__ import annotations
 
@@ -21,18 +21,23 @@
 
 
 class KeyBook:
-    """The records of the keys that this incarnation ran or is running.
+    """The records of the keys whose requests this incarnation ran or is running.
 
-    Answers are dropped, oldest first, where they take too much memory; the records themselves are
-    dropped by age and number only.
+    Answers are dropped, oldest first, when they take too much memory; the records themselves are
+    evicted by age and number only.
 
     Args:
         clock: The clock.
-        keep_ms: How long a record is kept after its request ended.
-        most_records: How many records of ended requests are kept at the most.
+        keep_ms: How long a record is kept after its request finished, in milliseconds.
+        most_records: The maximum number of records of finished requests.
 
     Attributes:
-        on_forget: Called with the key of each record that is dropped.
+        on_forget: Called with the key of each record that is evicted.
+        records: The records, by key.
+        ended_at: When each finished request finished, by key, the oldest first.
+        answers: The kept answers as JSON, by key, the oldest first.
+        ends: Events that are set when a running request finishes, by key.
+        answer_bytes: The size of the kept answers.
     """
 
     def __init__(
@@ -49,26 +54,26 @@
         self.answer_bytes = 0
 
     def find(self, key: str) -> KeyRecord | None:
-        """Return the record of a key, with its answer where that is kept."""
+        """Return the record of a key, with its answer if that is kept, or None."""
         return self.records.get(key)
 
     def answer(self, key: str) -> bytes | None:
-        """Return the kept answer of a key."""
+        """Return the kept answer of a key, or None."""
         return self.answers.get(key)
 
     def begin(self, record: KeyRecord) -> None:
-        """Hold a key whose request is about to run."""
+        """Add the record of a key whose request is about to run."""
         self.records[record.key] = record
         self.ends[record.key] = Event()
 
     def wait(self, key: str, delay_ms: float) -> None:
-        """Wait for the request of a key to end, at most for a time."""
+        """Wait for the request of a key to finish, for a limited time."""
         event = self.ends.get(key)
         if event is not None:
             self.clock.wait(event, delay_ms)
 
     def end(self, record: KeyRecord) -> None:
-        """Record how the request of a key ended."""
+        """Record the outcome of the request of a key."""
         self.records[record.key] = record
         self.ended_at[record.key] = self.clock.now()
         if record.answer is not None:
@@ -78,18 +83,18 @@
         self.trim()
 
     def drop(self, key: str) -> None:
-        """Forget a key whose request did not run."""
+        """Remove the record of a key whose request did not run."""
         self.records.pop(key, None)
         self.wake(key)
 
     def wake(self, key: str) -> None:
-        """Wake the repeats that wait for a key."""
+        """Wake the repeated requests that wait for a key."""
         event = self.ends.pop(key, None)
         if event is not None:
             event.set()
 
     def trim(self) -> None:
-        """Drop what is too old or too much."""
+        """Evict records that are too old or too many, and answers that are too large."""
         horizon = self.clock.now() - self.keep_ms
         while self.ended_at:
             key, at = next(iter(self.ended_at.items()))
@@ -100,14 +105,14 @@
             self.drop_answer(next(iter(self.answers)))
 
     def forget(self, key: str) -> None:
-        """Forget an ended record."""
+        """Evict the record of a finished request."""
         self.on_forget(key)
         del self.ended_at[key]
         self.records.pop(key, None)
         self.drop_answer(key)
 
     def drop_answer(self, key: str) -> None:
-        """Drop a kept answer but keep the record of its key."""
+        """Drop a kept answer, but not the record of its key."""
         answer = self.answers.pop(key, None)
         if answer is not None:
             self.answer_bytes -= len(answer)
--- a/packages/core/src/mountladder/claims/keydecision.py
+++ b/packages/core/src/mountladder/claims/keydecision.py
@@ -1,8 +1,8 @@
-# keydecision.py -- What is to be done with a request that has a key
+# keydecision.py -- The decision about a request that has an idempotency key
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is to be done with a request that has a key."""
+"""The decision about a request that has an idempotency key."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyDecision:
-    """What is to be done with a non-idempotent request; exactly one field is set.
+    """What to do with a non-idempotent request; exactly one field is set.
 
     Attributes:
-        run: The record under which it is to be run here.
-        replay: The kept answer to give, as JSON.
-        home: The issued key whose home must be asked.
+        run: The record under which to run it here.
+        replay: The kept answer to return, as JSON.
+        home: The issued key, if the request must be passed to the instance that issued it.
     """
 
     run: KeyRecord | None = None
--- a/packages/core/src/mountladder/claims/keyrecord.py
+++ b/packages/core/src/mountladder/claims/keyrecord.py
@@ -1,8 +1,8 @@
-# keyrecord.py -- What is known of one idempotency key
+# keyrecord.py -- The record of one idempotency key, in memory and in the store
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is known of one idempotency key."""
+"""The record of one idempotency key, in memory and in the store."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """What is known of a key, in memory and as a row of the store.
+    """The state of a key and its request, in memory and as a row of the store.
 
     Attributes:
-        key: The team and the caller's key.
-        nonce: An id of this claim, by which a lost answer of the store is settled.
+        key: The team and the caller's key, separated by a slash.
+        nonce: A unique id of this claim, which shows whether a write without an answer was applied.
         incarnation: The incarnation of the instance that holds the key.
-        fingerprint: A hash of what the request asked for.
+        fingerprint: A hash of the request.
         at_ms: When it was claimed, in milliseconds since the Unix epoch.
-        state: What became of the request.
-        answer: The whole answer as JSON, where it is done and the answer is kept.
-        code: The code it failed with, or None.
+        state: The state of the request.
+        answer: The complete answer as JSON, if the request is done and its answer is kept.
+        code: The code the request failed with, or None.
         detail: The detail of that failure.
     """
 
@@ -77,4 +77,4 @@
                 detail=str(table["detail"]),
             )
         except MALFORMED as error:
-            raise BadRowError(f"a claim cannot be read: {error}") from error
+            raise BadRowError(f"malformed claim: {error}") from error
--- a/packages/core/src/mountladder/claims/keystate.py
+++ b/packages/core/src/mountladder/claims/keystate.py
@@ -1,8 +1,8 @@
-# keystate.py -- What became of an idempotency key
+# keystate.py -- The state of the request of an idempotency key
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What became of an idempotency key."""
+"""The state of the request of an idempotency key."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class KeyState(Enum):
-    """What became of the request that holds a key."""
+    """The state of the request that holds a key."""
 
     RUNNING = "running"
     DONE = "done"
--- a/packages/core/src/mountladder/claims/pendingwrite.py
+++ b/packages/core/src/mountladder/claims/pendingwrite.py
@@ -13,14 +13,14 @@
 
 
 class PendingWrite:
-    """A write that waits to be committed.
+    """A write that waits for a shared transaction.
 
     Attributes:
         write: The write.
-        until: How long it may be sent again, in the clock's milliseconds.
-        ambiguous: Whether it was sent and no answer came.
-        settled: Set once its outcome is known or given up.
-        version: The new version of its row, once it was written.
+        until: Until when it may be sent again, in the clock's milliseconds.
+        ambiguous: Whether it was sent and no answer came, so that it may have taken effect.
+        settled: Set once its outcome is known, or will not be known in time.
+        version: The new version of its row, once it is written.
         error: Why it was not written, or None.
     """
 
@@ -33,11 +33,11 @@
         self.error: MountladderError | None = None
 
     def succeed(self, version: int) -> None:
-        """Record that it was written."""
+        """Settle the write as done."""
         self.version = version
         self.settled.set()
 
     def fail(self, error: MountladderError) -> None:
-        """Record that it was not written, or that this cannot be known."""
+        """Settle the write with an error."""
         self.error = error
         self.settled.set()
--- a/packages/core/src/mountladder/claims/submitter.py
+++ b/packages/core/src/mountladder/claims/submitter.py
@@ -1,8 +1,8 @@
-# submitter.py -- Writes of requests, committed here or by a peer
+# submitter.py -- Commits writes by this instance or through a peer
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Writes of requests, committed here or by a peer."""
+"""Commits writes by this instance or through a peer."""
 
 from __future__ import annotations
 
@@ -28,24 +28,28 @@
 from mountladder.membership.submitted import Submitted
 from mountladder.store.write import Write
 
+# Fraction of the remaining time that a peer is given for a commit.
 ASK_SHARE = 0.5
+# How long a reply may take beyond that time.
 REPLY_MARGIN_MS = 20.0
+# Time limit of a commit by this instance, if it can be tried through other data centres next.
 BRIEFLY_MS = 300.0
+# How long other data centres are tried first after a commit by this instance failed.
 MISTRUST_MS = 5_000.0
 Way = Callable[[Write, float], int]
 
 
 class Submitter:
-    """Commits a write by the shortest way that can reach the store.
+    """Commits a write by the shortest path that can reach the store.
 
-    In a large data centre the first live instance gathers the writes of all, so that they share
-    transactions. Where this instance cannot reach the store, a peer of another data centre is
-    asked. A write is safe to send by several ways: its condition holds once, and its value tells
-    whose it is.
+    In a large data centre the first live instance commits the writes of all others, so that they
+    share transactions. If this instance cannot reach the store, a peer in another data centre is
+    asked. A write may safely be sent over several paths: its condition holds once, and its value
+    shows which write it came from.
 
     Args:
-        commits: This instance's own group commit.
-        peers: The links to the others.
+        commits: The group commit of this instance.
+        peers: The links to the other instances.
         clock: The clock.
     """
 
@@ -71,13 +75,14 @@
             if self.clock.now() >= until:
                 break
         if ambiguous:
-            raise StoreAmbiguousError("no way to the store gave an answer")
-        raise StoreUnavailableError("there is no way to the store")
+            raise StoreAmbiguousError("the store did not answer on any path")
+        raise StoreUnavailableError("the store cannot be reached on any path")
 
     def ways(self) -> list[Way]:
-        """Return the ways to the store in the order to try them.
+        """Return the paths to the store in the order to try them.
 
-        The instance's own way comes last for a while after it failed, where there are others.
+        The direct path of this instance comes last for a while after it failed, if there are
+        others.
         """
         outside = [partial(self.ask, link) for link in self.outside_links()]
         gatherer = self.gatherer()
@@ -89,11 +94,11 @@
         return [*first, self.commit_briefly, *outside, self.commit_here]
 
     def commit_here(self, write: Write, until: float) -> int:
-        """Commit a write from here."""
+        """Commit a write from this instance."""
         return self.commits.submit(write, until)
 
     def commit_briefly(self, write: Write, until: float) -> int:
-        """Commit a write from here where that takes no long time."""
+        """Commit a write from this instance within a short time limit."""
         try:
             return self.commits.submit(write, min(until, self.clock.now() + BRIEFLY_MS))
         except (StoreUnavailableError, StoreAmbiguousError):
@@ -107,14 +112,14 @@
         return [one for one in links if one.peer is not None and one.peer.datacentre != here]
 
     def gatherer(self) -> Link | None:
-        """Return the link to the instance that gathers writes, or None where this one may."""
+        """Return the link to the instance that commits for others, or None if this one may."""
         live = self.peers.membership.live()
         if len(live) < GATHERED_FROM or live[0].name == self.peers.membership.me.name:
             return None
         return self.peers.links.get(live[0].peer)
 
     def ask(self, link: Link, write: Write, until: float) -> int:
-        """Ask a peer to commit a write."""
+        """Commit a write through a peer."""
         number = next(self.numbers)
         replied = self.waiting[number] = Event()
         within = max(0.0, until - self.clock.now()) * ASK_SHARE
@@ -138,7 +143,7 @@
         return Submitted(submit.number, version, 0)
 
     def take_reply(self, submitted: Submitted) -> None:
-        """Hand a reply to the task that waits for it."""
+        """Pass a reply to the task that waits for it."""
         replied = self.waiting.get(submitted.number)
         if replied is not None:
             self.replies[submitted.number] = submitted
--- a/packages/core/src/mountladder/quarantine/__init__.py
+++ b/packages/core/src/mountladder/quarantine/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Requests that end the servers which run them
+# __init__.py -- Quarantine of requests that crash the servers which run them
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Requests that end the servers which run them."""
+"""Quarantine of requests that crash the servers which run them."""
--- a/packages/core/src/mountladder/quarantine/barkeeper.py
+++ b/packages/core/src/mountladder/quarantine/barkeeper.py
@@ -1,8 +1,8 @@
-# barkeeper.py -- Keeping bars on the platform
+# barkeeper.py -- Persists barred requests and strong suspects in the platform's store
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Keeping bars and strong suspicions on the platform."""
+"""Persists barred requests and strong suspects in the platform's store."""
 
 from __future__ import annotations
 
@@ -19,31 +19,32 @@
 from mountladder.quarantine.suspicion import Suspicion
 from mountladder.store.eras import OLDEST_COPY_MS
 
-# How often a process that has just started looks whether it is to read the bars; it settles within
-# half a second.
+# Poll interval of a process that has just started and does not yet know whether it reads the store;
+# that is settled within half a second.
 LOOK_MS = 100.0
 RETRY_MS = 1_000.0
-# The store's name in what the quarantine logs.
+# The store's name as a source in log lines of the quarantine.
 SOURCE = "the store"
 
 
 class BarKeeper:
-    """Keeps bars and strong suspicions on the platform, so that they outlast all instances.
+    """Persists barred requests and strong suspects, so that they survive a loss of all instances.
 
-    Who saw the last end writes the bar, and who follows the store as well, should the other one
-    be lost. Who follows the store reads all once after its start and tells the others. Where the
-    store has come back from an older copy, each one writes again what it wrote lately.
+    A bar is written by the instance that observed the last crash, and also by the instance that
+    reads the store, in case the first one is lost. The reading instance loads all rows once after
+    its start and announces them to the others. After the store was restored from an older copy,
+    each instance writes its recent changes again.
 
     Args:
-        store: The platform's table.
-        quarantine: This instance's book.
-        readers: Tells which instance follows the store.
+        store: The platform's table of suspicions.
+        quarantine: The quarantine of this instance.
+        readers: Knows which instance reads the store.
         clock: The clock.
 
     Attributes:
-        waiting: What is to be written, or dropped where it is None, by fingerprint.
-        stored: How often each request was barred by the rows that were read.
-        written: What this instance wrote or dropped lately, and when, by fingerprint.
+        waiting: Suspicions to be written, or None for a row to be deleted, by fingerprint.
+        stored: The number of bars in the rows that were read, by fingerprint.
+        written: The time and value of each recent write or deletion (None), by fingerprint.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         quarantine.on_cleared = self.take_clearing
 
     def take_bar(self, suspicion: Suspicion, seen_here: bool) -> None:
-        """Have a bar written, where that is this instance's to do."""
+        """Queue a bar to be written, if this instance has to write it."""
         if self.stored.get(suspicion.fingerprint, 0) >= suspicion.bars:
             return
         if seen_here or self.readers.reading:
@@ -70,33 +71,33 @@
             self.wake.set()
 
     def take_lasting(self, suspicion: Suspicion) -> None:
-        """Have a suspicion written that one more end would make a bar."""
+        """Queue a suspicion to be written that one more crash would turn into a bar."""
         self.waiting[suspicion.fingerprint] = suspicion
         self.wake.set()
 
     def write_again(self) -> None:
-        """Have what was written lately written again, since the store may have lost it."""
+        """Queue recent writes again, since the store may have lost them."""
         self.forget_written()
         for fingerprint, (_, suspicion) in self.written.items():
             self.waiting.setdefault(fingerprint, suspicion)
         if self.waiting:
-            log_message("bars-written-again", fingerprints=list(self.waiting))
+            log_message("quarantine-rewritten", fingerprints=list(self.waiting))
             self.wake.set()
 
     def forget_written(self) -> None:
-        """Forget what was written so long ago that no copy is older."""
+        """Forget writes that are older than any copy the store may be restored from."""
         oldest = self.clock.now() - OLDEST_COPY_MS
         while self.written and next(iter(self.written.values()))[0] < oldest:
             self.written.popitem(last=False)
 
     def take_clearing(self, fingerprint: str) -> None:
-        """Have a bar dropped that does not hold any more."""
+        """Queue the row of a request that was cleared, or has expired, to be deleted."""
         self.stored.pop(fingerprint, None)
         self.waiting[fingerprint] = None
         self.wake.set()
 
     def run(self) -> None:
-        """Read what is kept where that is this instance's to do, then write, for ever."""
+        """Load the rows if this instance reads the store, then write queued changes for ever."""
         while not self.readers.reading and not self.readers.has_fed_peer():
             self.clock.sleep(LOOK_MS)
         while self.readers.reading and not self.read():
@@ -109,13 +110,13 @@
                     self.clock.sleep(RETRY_MS)
 
     def read(self) -> bool:
-        """Take in what is kept; tell whether the store answered."""
+        """Load all rows and merge them into the quarantine; return whether the store answered."""
         try:
             kept = self.store.read()
         except (StoreUnavailableError, StoreAmbiguousError) as error:
-            log_message("bars-unread", reason=str(error))
+            log_message("quarantine-load-failed", reason=str(error))
             return False
-        log_message("bars-read", bars=len(kept))
+        log_message("quarantine-loaded", entries=len(kept))
         to_clock_ms = self.clock.now() - self.clock.wall()
         known = [one.shifted(to_clock_ms) for one in kept]
         self.stored = {one.fingerprint: one.bars for one in known}
@@ -127,7 +128,7 @@
         return True
 
     def write(self) -> bool:
-        """Write or drop the first bar that waits; tell whether the store answered."""
+        """Write or delete the first queued row; return whether the store answered."""
         fingerprint, suspicion = next(iter(self.waiting.items()))
         try:
             if suspicion is None:
@@ -135,7 +136,7 @@
             else:
                 self.store.write(suspicion.shifted(self.clock.wall() - self.clock.now()))
         except (StoreUnavailableError, StoreAmbiguousError) as error:
-            log_message("bar-unwritten", fingerprint=fingerprint, reason=str(error))
+            log_message("quarantine-write-failed", fingerprint=fingerprint, reason=str(error))
             return False
         if self.waiting.get(fingerprint) is suspicion:
             del self.waiting[fingerprint]
--- a/packages/core/src/mountladder/quarantine/barstore.py
+++ b/packages/core/src/mountladder/quarantine/barstore.py
@@ -1,8 +1,8 @@
-# barstore.py -- Where bars outlast the instances
+# barstore.py -- Interface of the store of barred requests and strong suspects
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Where bars and strong suspicions outlast the instances."""
+"""Interface of the store of barred requests and strong suspects."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class BarStore(ABC):
-    """Barred requests and strong suspects, on the platform; times are ms since the Unix epoch.
+    """A table of suspicions on the platform, with times in milliseconds since the Unix epoch.
 
-    Every call raises StoreUnavailableError or StoreAmbiguousError where the platform does not
-    answer; a write may be repeated.
+    Every call raises StoreUnavailableError or StoreAmbiguousError if the platform does not answer.
+    Writes are idempotent.
     """
 
     @abstractmethod
     def read(self) -> tuple[Suspicion, ...]:
-        """Return all that are kept."""
+        """Return all stored suspicions."""
 
     @abstractmethod
     def write(self, suspicion: Suspicion) -> None:
-        """Keep one, in place of what is kept of the same request."""
+        """Store a suspicion in place of a stored one of the same request."""
 
     @abstractmethod
     def remove(self, fingerprint: str) -> None:
-        """Drop one, whether it is kept or not."""
+        """Delete the suspicion of a request, if there is one."""
--- a/packages/core/src/mountladder/quarantine/blame.py
+++ b/packages/core/src/mountladder/quarantine/blame.py
@@ -1,8 +1,8 @@
-# blame.py -- Whether the ends of servers under a request are more than chance
+# blame.py -- Decides whether a request is barred after a server crash
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whether the ends of servers under a request are more than chance."""
+"""Decides whether a request is barred after a server crash."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 from mountladder.quarantine.suspicion import Suspicion
 
-# Whoever is hit by three separate ends without an answer between them is to blame, or was hit by
-# chance three times in a row: at 0.2 a run, which is a bad minute, one in 125 that come so often.
+# Three independent crashes without an answer in between bar a request. An unaffected request gets
+# there by chance with a probability of 1 in 125, at 0.2 crashes per run as in a bad minute.
 MOST_ENDS = 3
-# Two are enough where both came soon after the request was sent and servers end under it alone.
-# With 2,100 servers of which 200 end in a day that bars one innocent in some 80 days.
+# Two crashes are enough if both came soon after the request was sent and no server crashed without
+# it. With 2,100 servers and 200 crashes a day that bars one unaffected request in about 80 days.
 FEW_ENDS = 2
 SOON_MS = 500.0
 QUIET_MS = 60_000.0
 
 
 def is_to_blame(suspicion: Suspicion, server_ends: Mapping[str, float]) -> bool:
-    """Tell whether a request is to be barred after a further end.
+    """Return whether a request is to be barred after a further crash.
 
     Args:
-        suspicion: What is known of it, with an end at least.
-        server_ends: When each server ended that was heard of lately, by the server's name.
+        suspicion: The suspicion of the request, with at least one crash.
+        server_ends: The times of recent crashes in the fleet, by the server's name.
     """
     separate = suspicion.separate_ends()
     if suspicion.bars:
-        # It was tried again after its last bar.
+        # A trial after its last bar crashed a server again.
         return separate[-1].at > suspicion.barred_until
     if len(separate) >= MOST_ENDS:
         return True
--- a/packages/core/src/mountladder/quarantine/case.py
+++ b/packages/core/src/mountladder/quarantine/case.py
@@ -1,8 +1,8 @@
-# case.py -- One attempt at a request, as the quarantine sees it
+# case.py -- An attempt at a request that is tracked by the quarantine
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One attempt at a request, as the quarantine sees it."""
+"""An attempt at a request that is tracked by the quarantine."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class Case:
-    """One attempt at a request, or at a stage of it, as the quarantine sees it.
+    """One attempt at a request, or at a stage of it, that is tracked by the quarantine.
 
     Args:
-        fingerprint: What all attempts at it have in common.
+        fingerprint: The hash that all attempts at the same request share.
         request: The id of this attempt.
-        quarantine: What is known of it.
-        ends: Tells whether a server has ended when a connection to it breaks.
+        quarantine: The quarantine of this instance.
+        ends: Finds out whether a server has crashed when a connection to it breaks.
         clock: The clock.
     """
 
@@ -49,10 +49,13 @@
         return Case(mark, self.request, self.quarantine, self.ends, self.clock)
 
     def check(self, stages: Iterable[str]) -> None:
-        """Refuse a request at once under which, or under one of whose stages, servers end.
+        """Refuse the request if it, or its pieces at one of its stages, is barred.
+
+        Args:
+            stages: The names of its stages.
 
         Raises:
-            RefusalError: It is barred.
+            RefusalError: The request is barred.
         """
         if not self.quarantine.known:
             return
@@ -61,20 +64,20 @@
             self.quarantine.check(stage_fingerprint(self.fingerprint, name), self.request)
 
     def admit(self, left_ms: float) -> None:
-        """Let it go to a server; see Quarantine.
+        """Wait until the request may be sent to a server; see Quarantine.admit.
 
         Raises:
-            RefusalError: It is barred.
+            RefusalError: The request is barred.
         """
         self.quarantine.admit(self.fingerprint, self.request, left_ms)
 
     def failed(self, server: BackendServer, started: float, error: StageError) -> None:
-        """Find out whether a server has ended where the connection to it broke.
+        """Find out whether a server has crashed, if the connection to it broke.
 
         Args:
             server: The server.
-            started: When it was sent there, in the clock's milliseconds.
-            error: How the sending failed.
+            started: When the request was sent there, in the clock's milliseconds.
+            error: How the attempt failed.
         """
         if broke(error):
             now = self.clock.now()
@@ -82,10 +85,10 @@
             self.ends.broke(server, (lost,))
 
     def answered(self) -> None:
-        """Record that it was answered whole."""
+        """Record that the request was answered completely."""
         self.quarantine.answer(self.fingerprint)
 
 
 def broke(error: StageError) -> bool:
-    """Tell whether a connection broke while a server may have been at work for it."""
+    """Return whether a connection broke after the request may have reached the server."""
     return error.code is Code.STREAM_CUT and error.dispatched
--- a/packages/core/src/mountladder/quarantine/fingerprint.py
+++ b/packages/core/src/mountladder/quarantine/fingerprint.py
@@ -1,30 +1,30 @@
-# fingerprint.py -- What attempts at the same request have in common
+# fingerprint.py -- Fingerprints that all attempts at the same request share
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What attempts at the same request have in common."""
+"""Fingerprints that all attempts at the same request share."""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Sequence
 
-# 16 bytes: two different requests of all that a fleet takes in a year share one by chance with a
-# probability of some 1e-16.
+# With 16 bytes, two different requests among all that a fleet takes in a year collide with a
+# probability of about 1e-16.
 DIGEST_BYTES = 16
-# A byte that none of the hashed texts can hold.
+# Separator of the hashed texts; none of them can contain it.
 END = b"\0"
 
 
 def fingerprint(secret: str, texts: Sequence[str], body: bytes) -> str:
-    """Return the same text for all attempts at the same request, and nothing of its content.
+    """Return a hash that all attempts at the same request share and that reveals no content.
 
-    Headers are not part of it, since each attempt has some of its own.
+    Headers are not hashed, since some of them differ between attempts.
 
     Args:
         secret: The key that all instances share.
-        texts: The team that sends it and what it asks for, without the body.
-        body: The body.
+        texts: The sending team and what the request asks for, without the body.
+        body: The body of the request.
 
     Returns:
         A keyed hash, 32 hexadecimal digits.
@@ -40,7 +40,8 @@
 def stage_fingerprint(whole: str, service: str) -> str:
     """Return the fingerprint of a request's pieces at a stage service.
 
-    Servers that make its pieces well clear nothing of those that run the request itself.
+    It differs from the request's own, so that pieces that run well do not clear a request which
+    crashes the servers that run the request itself.
 
     Args:
         whole: The fingerprint of the request.
--- a/packages/core/src/mountladder/quarantine/interruption.py
+++ b/packages/core/src/mountladder/quarantine/interruption.py
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Interruption:
-    """A request whose connection to a server broke while it was there.
+    """A request whose connection to a server broke while the server had it.
 
     Attributes:
-        fingerprint: What all attempts at the request have in common.
+        fingerprint: The hash that all attempts at the same request share.
         request: The caller's id of this attempt.
-        ran_ms: How long it had been at the server.
+        ran_ms: How long the server had had it.
         at: When the connection broke, in the clock's milliseconds.
-        alone: Whether no other request was in the same call.
+        alone: Whether it was the only request of its call.
     """
 
     fingerprint: str
--- a/packages/core/src/mountladder/quarantine/memorybarstore.py
+++ b/packages/core/src/mountladder/quarantine/memorybarstore.py
@@ -1,8 +1,8 @@
-# memorybarstore.py -- Bars kept in memory
+# memorybarstore.py -- An in-memory store of suspicions
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Bars kept in memory."""
+"""An in-memory store of suspicions."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class MemoryBarStore(BarStore):
-    """The in-memory twin of the platform's table of bars.
+    """An in-memory BarStore, for tests.
 
     Attributes:
-        rows: What is kept, by fingerprint.
-        down: While set, calls fail.
-        calls: How many calls were made.
+        rows: The stored suspicions, by fingerprint.
+        down: Whether calls fail.
+        calls: The number of calls.
     """
 
     def __init__(self) -> None:
@@ -26,17 +26,17 @@
         self.calls = 0
 
     def read(self) -> tuple[Suspicion, ...]:
-        """Return all that are kept; see BarStore."""
+        """Return all stored suspicions; see BarStore."""
         self.check()
         return tuple(self.rows.values())
 
     def write(self, suspicion: Suspicion) -> None:
-        """Keep one; see BarStore."""
+        """Store a suspicion; see BarStore."""
         self.check()
         self.rows[suspicion.fingerprint] = suspicion
 
     def remove(self, fingerprint: str) -> None:
-        """Drop one; see BarStore."""
+        """Delete a suspicion; see BarStore."""
         self.check()
         self.rows.pop(fingerprint, None)
 
--- a/packages/core/src/mountladder/quarantine/quarantine.py
+++ b/packages/core/src/mountladder/quarantine/quarantine.py
@@ -1,8 +1,8 @@
-# quarantine.py -- Which requests are kept from servers since those end under them
+# quarantine.py -- Bars requests that repeatedly crash the servers which run them
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which requests are kept from servers since those end under them."""
+"""Bars requests that repeatedly crash the servers which run them."""
 
 from __future__ import annotations
 
@@ -23,39 +23,43 @@
 from mountladder.quarantine.serverend import ServerEnd
 from mountladder.quarantine.suspicion import MOST_WAIT_MS, NEVER, Suspicion
 
-# What was answered whole within this time before a server ended is not to blame for that.
+# A request that was answered completely within this time before a crash is not suspected of it.
 INNOCENT_MS = 60_000.0
-# About a minute of whole answers of an instance of a large fleet, at some 19 a second.
+# About a minute of complete answers of an instance of a large fleet, at about 19 a second.
 MOST_ANSWERED = 1_200
-# How many of the requests that a server had at its end are suspected; those that had been there
-# for the shortest time come first.
+# Max. number of requests that are suspected of one crash; those that the server had for the
+# shortest time come first.
 MOST_SUSPECTS = 64
-# Some 450 bytes each; the oldest suspects make room.
+# An entry takes about 450 bytes; beyond this number the oldest suspects are evicted.
 MOST_ENTRIES = 1_024
-# A server is taken out of use by word of a peer only at once; later it may be another start.
+# A crash that a peer reports takes the server out of use only this long; after that the server may
+# have been restarted.
 FRESH_MS = 1_000.0
 
 
 class Quarantine:
-    """Knows what requests did to servers, and keeps those from them under which they end.
+    """Tracks which requests were in flight when servers crashed, and bars the responsible ones.
 
-    A server takes all with it that it has under way, most of it innocent. Whoever is answered
-    whole is cleared; whoever has separate servers end under it, time after time, is barred.
+    A crash interrupts every request that the server has in flight, most of which did not cause it.
+    All of them become suspects. A suspect that is answered completely is cleared; one with repeated
+    independent crashes is barred: it is refused for a time, which grows with each further bar.
 
     Args:
         clock: The clock.
-        metrics: Where its size is shown.
+        metrics: Receives the numbers of suspects and barred requests.
 
     Attributes:
-        known: What is known of each suspect, by fingerprint.
-        answered: What was answered whole lately, and when.
-        server_ends: When each server ended that was heard of lately.
-        on_news: Called with what has become known, and who told (an empty string for here).
-        on_barred: Called with each suspect that is barred from now on, judged here or elsewhere,
-            and whether this instance saw the last end itself.
-        on_lasting: Called with each one not barred that is to outlast instances, as judged here.
-        on_cleared: Called with each one that is to outlast instances and is cleared here.
-        on_server_ended: Called with the name of a server that has just ended.
+        known: The suspicions, by fingerprint.
+        answered: When requests were last answered completely, by fingerprint, the latest last.
+        server_ends: The times of recent crashes in the fleet, by the server's name.
+        on_news: Called with changed suspicions and the name of the peer that sent them (an empty
+            string for changes made here).
+        on_barred: Called with each newly barred suspicion, whether decided here or elsewhere, and
+            whether this instance observed the last crash itself.
+        on_lasting: Called with each suspicion that is to be persisted but not barred, if this
+            instance observed its last crash.
+        on_cleared: Called with the fingerprint of each persisted suspicion that is cleared here.
+        on_server_ended: Called with the name of a server that has just crashed.
     """
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
@@ -72,56 +76,56 @@
         self.on_server_ended: Callable[[str], None] = lambda server: None
 
     def check(self, fingerprint: str, request: str) -> None:
-        """Let a request pass that is not barred.
+        """Refuse a request that is barred.
 
         Raises:
-            RefusalError: It is barred, until the time that the error tells.
+            RefusalError: The request is barred; `retry_after_ms` is the remaining time.
         """
         known = self.known.get(fingerprint)
         left_ms = known.barred_until - self.clock.now() if known else NEVER
         if left_ms <= 0:
             return
         log_message(
-            "barred-refused",
+            "barred-request-refused",
             request=request,
             fingerprint=fingerprint,
             servers=[one.server for one in known.ends],
             bars=known.bars,
             left_ms=round(left_ms),
         )
-        detail = f"{len(known.ends)} servers ended under it"
+        detail = f"{len(known.ends)} servers crashed while running it"
         raise RefusalError(detail, Code.QUARANTINED, retry_after_ms=left_ms)
 
     def is_barred(self, fingerprint: str) -> bool:
-        """Tell whether a request is not to be sent at present."""
+        """Return whether a request is barred at present."""
         known = self.known.get(fingerprint)
         return known is not None and known.barred_until > self.clock.now()
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether servers ended under a request that was not cleared since."""
+        """Return whether servers crashed under a request that was not cleared since."""
         known = self.known.get(fingerprint)
         return known is not None and known.is_suspect
 
     def goes_alone(self, fingerprint: str) -> bool:
-        """Tell whether a request's pieces are not to share a call with those of others."""
+        """Return whether a request's pieces must not share a call with those of others."""
         known = self.known.get(fingerprint)
         return known is not None and len(known.ends) >= FEW_ENDS
 
     def wait_ms(self, fingerprint: str) -> float:
-        """Return for how long yet a copy of a suspect that is under way is to be waited for."""
+        """Return how much longer to wait for a copy of a suspect that is in flight, in ms."""
         known = self.known.get(fingerprint)
         return max(0.0, known.awaited_until() - self.clock.now()) if known else 0.0
 
     def admit(self, fingerprint: str, request: str, left_ms: float) -> None:
-        """Let a request go to a server, a suspect only once no other copy of it is under way.
+        """Admit a request to a server; a suspect waits while another copy of it is in flight.
 
         Args:
-            fingerprint: What all attempts at the request have in common.
+            fingerprint: The hash that all attempts at the same request share.
             request: The caller's id of this attempt.
             left_ms: How long it can wait at most.
 
         Raises:
-            RefusalError: It is barred.
+            RefusalError: The request is barred.
         """
         until = self.clock.now() + min(MOST_WAIT_MS, left_ms)
         while True:
@@ -133,7 +137,7 @@
         self.sending(fingerprint, request)
 
     def sending(self, fingerprint: str, request: str) -> None:
-        """Record that a request is sent, where it is suspect, and tell of it."""
+        """Record and announce that a suspect is sent to a server; ignore other requests."""
         known = self.known.get(fingerprint)
         if known is None or not known.is_suspect:
             return
@@ -142,7 +146,13 @@
         self.keep([replace(known, sent_at=self.clock.now())], "")
 
     def interrupted(self, server: str, service: str, lost: Sequence[Interruption]) -> None:
-        """Learn that a server has ended with requests of this instance under way."""
+        """Handle the crash of a server that had requests of this instance in flight.
+
+        Args:
+            server: The name of the crashed incarnation of the server.
+            service: The service it ran.
+            lost: The requests that it had in flight.
+        """
         now = self.clock.now()
         if self.see_end(server, now):
             self.metrics.count(Metric.SERVER_ENDS)
@@ -155,11 +165,11 @@
             known = self.known.get(one.fingerprint) or Suspicion(one.fingerprint)
             found.append(known.merged(Suspicion(one.fingerprint, service, (end,))))
         log_message(
-            "suspected",
+            "requests-suspected",
             server=server,
             requests=sorted({one.request for one in suspects}),
             fingerprints={one.fingerprint: len(one.ends) for one in found},
-            innocent=len(lost) - len(suspects),
+            not_suspected=len(lost) - len(suspects),
         )
         judged = [self.judged(one, seen_here=True) for one in found]
         self.keep(judged, "")
@@ -168,17 +178,17 @@
                 self.on_lasting(one)
 
     def is_innocent(self, fingerprint: str, at: float) -> bool:
-        """Tell whether a request was answered whole here, not long before a time or after it."""
+        """Return whether a request was answered completely here, shortly before a time or later."""
         return self.answered.get(fingerprint, NEVER) > at - INNOCENT_MS
 
     def judged(self, suspicion: Suspicion, seen_here: bool) -> Suspicion:
-        """Return a suspicion after a further end, barred where that is enough."""
+        """Return a suspicion after a further crash, barred if the crashes suffice for that."""
         now = self.clock.now()
         if suspicion.barred_until > now or not is_to_blame(suspicion, self.server_ends):
             return suspicion
         barred = replace(suspicion, bars=suspicion.bars + 1, barred_at=now)
         log_message(
-            "barred",
+            "request-barred",
             fingerprint=barred.fingerprint,
             service=barred.service,
             servers=[one.server for one in barred.ends],
@@ -190,7 +200,7 @@
         return barred
 
     def see_end(self, server: str, at: float) -> bool:
-        """Remember when a server ended; tell whether that is new here."""
+        """Record when a server crashed; return whether the crash was not known yet."""
         if server in self.server_ends:
             return False
         self.server_ends[server] = at
@@ -199,16 +209,16 @@
         return True
 
     def answer(self, fingerprint: str) -> None:
-        """Learn that a request was answered whole, which clears it of what happened around it."""
+        """Record that a request was answered completely, which clears it of earlier crashes."""
         self.answered[fingerprint] = self.clock.now()
         self.answered.move_to_end(fingerprint)
         if len(self.answered) > MOST_ANSWERED:
             self.answered.popitem(last=False)
         if self.is_suspect(fingerprint):
-            self.clear(fingerprint, "it was answered whole")
+            self.clear(fingerprint, "it was answered completely")
 
     def clear(self, fingerprint: str, reason: str) -> None:
-        """Clear a suspect, and tell of it."""
+        """Clear a suspect and announce that."""
         known = self.known[fingerprint]
         log_message(
             "suspect-cleared",
@@ -223,18 +233,18 @@
             self.on_cleared(fingerprint)
 
     def lift(self, fingerprint: str) -> bool:
-        """Clear a suspect by word of an operator; tell whether it was one."""
+        """Clear a suspect for an operator; return whether the request was a suspect."""
         if not self.is_suspect(fingerprint):
             return False
         self.clear(fingerprint, "an operator cleared it")
         return True
 
     def take(self, told: Iterable[Suspicion], source: str) -> None:
-        """Take in what a peer or the platform's store tells, and pass on what became of requests.
+        """Merge suspicions from a peer or the store, and announce changed outcomes to others.
 
         Args:
-            told: What they know, with times of this instance's clock.
-            source: Who tells.
+            told: The suspicions, with times of this instance's clock.
+            source: The name of the peer, or the store.
         """
         now = self.clock.now()
         news: list[Suspicion] = []
@@ -259,20 +269,20 @@
             self.keep(answers, "")
 
     def hear_ends(self, told: Suspicion) -> None:
-        """Learn of servers that ended elsewhere."""
+        """Record the crashes of a suspicion that another instance observed."""
         now = self.clock.now()
         for one in told.ends:
             if self.see_end(one.server, one.at) and now - one.at <= FRESH_MS:
                 self.on_server_ended(one.server)
 
     def keep(self, news: Sequence[Suspicion], source: str) -> None:
-        """Put what has become known into the book, and pass it on."""
+        """Store changed suspicions and announce them to other instances."""
         if news:
             self.remember(news)
             self.on_news(news, source)
 
     def remember(self, news: Sequence[Suspicion]) -> None:
-        """Put what has become known into the book."""
+        """Store changed suspicions and wake the requests that wait for one."""
         self.known.update({one.fingerprint: one for one in news})
         self.forget()
         self.changed.set()
@@ -283,7 +293,7 @@
         self.metrics.gauge(Metric.SUSPECTED, sum(one.is_suspect for one in self.known.values()))
 
     def forget(self) -> None:
-        """Forget what is old, and the oldest suspects where there are too many."""
+        """Drop expired suspicions, and evict the oldest suspects if there are too many."""
         now = self.clock.now()
         for fingerprint, one in list(self.known.items()):
             if now > one.kept_until:
--- a/packages/core/src/mountladder/quarantine/quarantineservice.py
+++ b/packages/core/src/mountladder/quarantine/quarantineservice.py
@@ -1,8 +1,8 @@
-# quarantineservice.py -- The quarantine of one instance, put together
+# quarantineservice.py -- Wiring of the parts of an instance's quarantine
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The quarantine of one instance, put together."""
+"""Wiring of the parts of an instance's quarantine."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class QuarantineService:
-    """The quarantine of one instance: its book, how ends are noticed, and how others are told.
+    """The quarantine of one instance, with its crash detection and its exchange with peers.
 
     Args:
-        refuses: Tells whether nobody listens at a server's address.
-        listing: What the list of servers tells of ends.
+        refuses: Returns whether connections to a server's address are refused.
+        listing: Shows planned shutdowns and restarts of servers.
         keeper: Keeps the links to the other instances.
-        secret: Returns the key that all instances share.
+        secret: Returns the key that all instances share, for fingerprints.
         clock: The clock.
-        metrics: Where metrics go.
+        metrics: Receives the metrics.
     """
 
     def __init__(
@@ -49,12 +49,12 @@
         self.exchange = SuspicionExchange(keeper, self.book, clock)
 
     def case(self, request: str, texts: Sequence[str], body: bytes) -> Case:
-        """Return an attempt at a request as the quarantine sees it.
+        """Return an attempt at a request that is tracked by the quarantine.
 
         Args:
             request: The id of the attempt.
-            texts: The team that sends it and what it asks for, without the body.
-            body: The body.
+            texts: The sending team and what the request asks for, without the body.
+            body: The body of the request.
         """
         mark = fingerprint(self.secret(), texts, body)
         return Case(mark, request, self.book, self.ends, self.clock)
--- a/packages/core/src/mountladder/quarantine/serverend.py
+++ b/packages/core/src/mountladder/quarantine/serverend.py
@@ -1,8 +1,8 @@
-# serverend.py -- A server that ended while it had a request
+# serverend.py -- The crash of a server that had a request in flight
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A server that ended while it had a request."""
+"""The crash of a server that had a request in flight."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEnd:
-    """A server that ended while it had a request.
+    """The crash of a server that had a request in flight.
 
     Attributes:
-        server: The server's name, which each of its starts has for itself.
-        ran_ms: How long the request had been there.
-        at: When it ended, in the clock's milliseconds.
-        alone: Whether no other request was in the same call.
+        server: The name of the crashed incarnation of the server; no other incarnation shares it.
+        ran_ms: How long the server had had the request.
+        at: When it crashed, in the clock's milliseconds.
+        alone: Whether the request was the only one of its call.
     """
 
     server: str
--- a/packages/core/src/mountladder/quarantine/serverends.py
+++ b/packages/core/src/mountladder/quarantine/serverends.py
@@ -1,8 +1,8 @@
-# serverends.py -- Telling servers that have ended from connections that broke
+# serverends.py -- Distinguishes crashed servers from broken connections
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Telling servers that have ended from connections that broke."""
+"""Distinguishes crashed servers from broken connections."""
 
 from __future__ import annotations
 
@@ -18,33 +18,37 @@
 from mountladder.quarantine.interruption import Interruption
 from mountladder.quarantine.serverlisting import ServerListing
 
-# How long whoever lost a connection waits to learn whether the server has ended. A refusal comes in
-# a round trip, some milliseconds at most; where nobody answers the list of servers will tell.
+# How long a request that lost a connection waits for the result of a probe. A refusal takes a round
+# trip, some milliseconds at most; if nothing answers, the list of servers shows the crash later.
 ASK_MS = 25.0
-# For how long the list of servers may show that one had ended when a connection to it broke: three
-# heartbeats of 1.2 s until an entry lapses, and some delay; started again it is back sooner.
+# How long after a broken connection the list of servers may show the crash: an entry lapses after
+# three heartbeats of 1.2 s, plus some delay; a restarted server is listed again sooner.
 LISTED_MS = 5_000.0
-# Connections to a server that has ended all break within this time; it is back after seconds.
+# All connections to a crashed server break within this time; a restart takes seconds.
 SETTLED_MS = 500.0
-# How many servers that have ended are remembered.
+# Max. number of crashed servers that are remembered.
 ENDS_KEPT = 256
 
 
 class ServerEnds:
-    """Finds out whether a server has ended when a connection to it breaks.
+    """Finds out whether a server has crashed when a connection to it breaks.
 
-    An answer may be lost, or a connection reset, while the server lives. One that has ended refuses
-    connections, or the list of servers shows another start at its address or drops its entry. A
-    server that was draining ends by plan, which nobody is to blame for.
+    An answer may be lost, or a connection reset, while the server still runs. A crashed server
+    refuses connections, or the list of servers shows another incarnation at its address or drops
+    its entry. The exit of a server that was draining is planned and makes no request suspect.
 
     Args:
-        refuses: Tells whether nobody listens at a server's address.
-        listing: What the list of servers tells of ends.
+        refuses: Returns whether connections to a server's address are refused.
+        listing: Shows planned shutdowns and restarts of servers.
         clock: The clock.
 
     Attributes:
-        on_ended: Called with the name of a server's start that has ended, what it served, and the
-            requests that it had then.
+        on_ended: Called with the name of the crashed incarnation of a server, the service it ran,
+            and the requests that it had in flight.
+        open: Servers with broken connections that may have crashed, with the interrupted requests,
+            by the server's name.
+        asked: The probes that are under way, by the server's name.
+        ended: The time and the incarnation's name of recent crashes, by the server's name.
     """
 
     def __init__(
@@ -60,11 +64,13 @@
         self.ended: OrderedDict[str, tuple[float, str]] = OrderedDict()
 
     def broke(self, server: BackendServer, interrupted: Sequence[Interruption]) -> None:
-        """Find out why connections broke; return once that is known, or is not known soon.
+        """Find out whether a server whose connections broke has crashed.
+
+        Returns once that is known, or after a short time limit.
 
         Args:
             server: The server.
-            interrupted: The requests that it had over them.
+            interrupted: The requests that were in flight on these connections.
         """
         if self.listing.is_planned(server):
             return
@@ -81,7 +87,7 @@
         self.clock.wait(asked, ASK_MS)
 
     def ask(self, server: BackendServer, asked: Event) -> None:
-        """Look whether a server refuses connections."""
+        """Probe whether a server refuses connections."""
         try:
             if self.refuses(server):
                 self.settle(server, "it refuses connections", SETTLED_MS)
@@ -90,27 +96,27 @@
             asked.set()
 
     def look(self) -> None:
-        """Look whether the list of servers tells what became of those that are in doubt."""
+        """Check whether the list of servers shows that a server in question has crashed."""
         for name, (server, _) in list(self.open.items()):
             if not self.in_doubt(server, LISTED_MS):
                 del self.open[name]
             elif self.listing.is_unlisted(server):
-                reason = "the list of servers has another start, or none"
+                reason = "the list of servers shows another incarnation, or none"
                 self.settle(server, reason, LISTED_MS)
 
     def in_doubt(self, server: BackendServer, within_ms: float) -> list[Interruption]:
-        """Return the requests that lost a server lately, where it is not known whether it ended."""
+        """Return the requests that a server recently lost, if it is not known to have crashed."""
         _, interrupted = self.open.get(server.name, (server, []))
         since = self.clock.now() - within_ms
         return [one for one in interrupted if one.at >= since]
 
     def settle(self, server: BackendServer, reason: str, within_ms: float) -> None:
-        """Record that a server has ended, with the requests that it had then.
+        """Record that a server has crashed, with the requests that it had in flight.
 
         Args:
             server: The server.
-            reason: What shows that it has.
-            within_ms: How long ago it can have ended at most.
+            reason: What shows the crash, for the log.
+            within_ms: How long ago it can have crashed at most.
         """
         interrupted = self.in_doubt(server, within_ms)
         self.open.pop(server.name, None)
@@ -121,7 +127,7 @@
         if len(self.ended) > ENDS_KEPT:
             self.ended.popitem(last=False)
         log_message(
-            "server-ended",
+            "server-crashed",
             server=start,
             address=server.address,
             reason=reason,
@@ -131,5 +137,5 @@
         self.tell(server, start, interrupted)
 
     def tell(self, server: BackendServer, start: str, interrupted: Sequence[Interruption]) -> None:
-        """Tell what a start of a server had under way when it ended."""
+        """Report which requests an incarnation of a server had in flight when it crashed."""
         self.on_ended(start, self.listing.service(server), interrupted)
--- a/packages/core/src/mountladder/quarantine/serverlisting.py
+++ b/packages/core/src/mountladder/quarantine/serverlisting.py
@@ -1,8 +1,8 @@
-# serverlisting.py -- What lists of servers tell of their ends
+# serverlisting.py -- Interface to the list of servers, for crash detection
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What lists of servers tell of their ends."""
+"""Interface to the list of servers, for crash detection."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class ServerListing(ABC):
-    """What the list of servers that an instance follows tells of their ends."""
+    """The list of servers that an instance follows, as far as it shows crashes and shutdowns."""
 
     @abstractmethod
     def is_planned(self, server: BackendServer) -> bool:
-        """Tell whether a server was leaving, so that connections to it were to break."""
+        """Return whether a server was shutting down, so that broken connections were expected."""
 
     @abstractmethod
     def is_unlisted(self, server: BackendServer) -> bool:
-        """Tell whether the list has no entry of this start of a server any more."""
+        """Return whether the list no longer has an entry of this incarnation of a server."""
 
     @abstractmethod
     def start_name(self, server: BackendServer, ended_at: float) -> str:
-        """Return a name that the start of a server which has ended shares with no other start."""
+        """Return a name for the crashed incarnation of a server that no other one shares."""
 
     @abstractmethod
     def service(self, server: BackendServer) -> str:
-        """Return what a server serves, as operators call it."""
+        """Return the name of the service that a server runs, as operators know it."""
--- a/packages/core/src/mountladder/quarantine/suspicionexchange.py
+++ b/packages/core/src/mountladder/quarantine/suspicionexchange.py
@@ -1,8 +1,8 @@
-# suspicionexchange.py -- Telling the other instances of requests under which servers ended
+# suspicionexchange.py -- Exchanges suspicions with the other instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Telling the other instances of requests under which servers ended."""
+"""Exchanges suspicions with the other instances."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class SuspicionExchange(NewsExchange[Suspicion]):
-    """Keeps the books of suspects of all instances alike.
+    """Keeps the suspicions of all instances in sync.
 
     Args:
         keeper: Keeps the links to the other instances.
-        quarantine: This instance's book.
+        quarantine: The quarantine of this instance.
         clock: The clock.
     """
 
@@ -31,13 +31,13 @@
         quarantine.on_news = self.tell
 
     def known(self) -> Iterable[Suspicion]:
-        """Return all suspects; see NewsExchange."""
+        """Return all suspicions; see NewsExchange."""
         return self.quarantine.known.values()
 
     def as_ages(self, entry: Suspicion, now: float) -> Suspicion:
-        """Return a suspicion as it is told; see NewsExchange."""
+        """Return a suspicion with times relative to now, as it is sent; see NewsExchange."""
         return entry.shifted(-now)
 
     def take_in(self, entries: Sequence[Suspicion], now: float, source: str) -> None:
-        """Take in suspicions; see NewsExchange."""
+        """Merge received suspicions into the quarantine; see NewsExchange."""
         self.quarantine.take([one.shifted(now) for one in entries], source)
--- a/packages/core/src/mountladder/quarantine/suspicions.py
+++ b/packages/core/src/mountladder/quarantine/suspicions.py
@@ -1,8 +1,8 @@
-# suspicions.py -- What an instance tells of requests under which servers ended
+# suspicions.py -- Message that carries suspicions to another instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What an instance tells of requests under which servers ended."""
+"""Message that carries suspicions to another instance."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicions:
-    """What an instance tells of requests under which servers ended.
+    """A message with suspicions for another instance.
 
     Attributes:
-        entries: One for each request; their times are relative to the moment of sending.
+        entries: One for each request, with times in milliseconds relative to the moment of sending.
     """
 
     entries: tuple[Suspicion, ...]
--- a/packages/core/src/mountladder/store/__init__.py
+++ b/packages/core/src/mountladder/store/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- The platform's services, as interfaces with in-memory twins
+# __init__.py -- Interfaces to the platform's services, with in-memory implementations
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform's services, as interfaces with in-memory twins."""
+"""Interfaces to the platform's services, with in-memory implementations."""
--- a/packages/core/src/mountladder/store/eras.py
+++ b/packages/core/src/mountladder/store/eras.py
@@ -1,8 +1,8 @@
-# eras.py -- Noticing that the platform's store has come back from an older copy
+# eras.py -- Detects that the platform's store was restored from an older copy
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Noticing that the platform's store has come back from an older copy."""
+"""Detects that the platform's store was restored from an older copy."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from eliot import log_message
 
-# A copy that the store comes back from is some seconds old (the users' letter); three times the
-# history that it keeps is taken as the most.
+# Max. age of a copy that the store is restored from: three times the history that it keeps. Copies
+# are normally some seconds old.
 OLDEST_COPY_MS = 60_000.0
 
 
 class Eras:
-    """The newest era of the platform's store that an instance has heard of, from whomever.
+    """Tracks the newest era of the platform's store that an instance has seen from any source.
 
     Attributes:
-        newest: That era, or None before the first word.
-        listeners: Called after each rise, when what this system wrote in the last seconds may be
-            gone from the store. The first word is no rise.
+        newest: The newest era, or None before the first one.
+        listeners: Called whenever a newer era replaces one seen before. The store may then have
+            lost what this system wrote in the last seconds.
     """
 
     def __init__(self) -> None:
@@ -29,17 +29,17 @@
         self.listeners: list[Callable[[], None]] = []
 
     def see(self, era: int, source: str) -> None:
-        """Take in an era.
+        """Record an era and call the listeners if it is newer than one seen before.
 
         Args:
             era: The era.
-            source: Who told, for the log.
+            source: Where it was seen, for the log.
         """
         if self.newest is not None and era <= self.newest:
             return
         before, self.newest = self.newest, era
         if before is None:
             return
-        log_message("store-came-back-older", era=era, before=before, source=source)
+        log_message("store-restored-older-copy", era=era, previous_era=before, source=source)
         for listener in self.listeners:
             listener()
--- a/packages/core/src/mountladder/store/instancelist.py
+++ b/packages/core/src/mountladder/store/instancelist.py
@@ -1,8 +1,8 @@
-# instancelist.py -- The platform's lagging list of instances
+# instancelist.py -- Interface to the platform's list of instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform's lagging list of instances."""
+"""Interface to the platform's list of instances."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class InstanceList(ABC):
-    """The platform's list of live and leaving instances, which lags."""
+    """The platform's list of live and leaving instances, which shows changes with a delay."""
 
     @abstractmethod
     def instances(self) -> tuple[Instance, ...]:
-        """Return the instances that the platform believes to be there.
+        """Return the instances that the platform lists at present.
 
         Raises:
             StoreUnavailableError: The list cannot be reached.
@@ -24,7 +24,7 @@
 
     @abstractmethod
     def announce(self, instance: Instance) -> None:
-        """Tell the platform of an instance; a leaving one is dropped after a while.
+        """Announce an instance to the platform; a leaving one is dropped after a while.
 
         Raises:
             StoreUnavailableError: The list cannot be reached.
--- a/packages/core/src/mountladder/store/lease.py
+++ b/packages/core/src/mountladder/store/lease.py
@@ -1,8 +1,8 @@
-# lease.py -- A lease kept in the table service
+# lease.py -- A lease held in a row of the table service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A lease kept in the table service."""
+"""A lease held in a row of the table service."""
 
 from __future__ import annotations
 
@@ -22,27 +22,32 @@
 from mountladder.store.write import ABSENT, Write
 
 LEASE_MS = 9_000.0
+# Fraction of a lease after which a holder that has not renewed it stops.
 SAFE_SHARE = 0.5
 LEASE_PREFIX = "lease/"
 
 
 class Lease:
-    """A lease that one incarnation holds at a time, with a number that grows with each holder.
+    """A lease that one incarnation holds at a time, with a fencing number that grows by term.
 
-    No clocks are compared. The holder writes the row again and again; another one takes the lease
+    Clocks are not compared. The holder keeps rewriting the row; another incarnation takes the lease
     only after it has seen the row unchanged for a whole lease by its own clock. The holder counts
-    from before it sent its last good write and stops at half a lease, so that it has long stopped
-    when another may begin, unless it is paused; the number fences off what it sends then.
+    from before it sent its last successful write and stops at half a lease, long before another one
+    may start. A holder that was paused may be late; the fencing number rejects what it sends then.
 
     Args:
-        name: What the lease is on.
-        incarnation: Who asks for it.
+        name: The name of the lease.
+        incarnation: The incarnation that asks for it.
         table: The table service.
         clock: The clock.
-        lease_ms: How long the row must stand unchanged before another may take it.
+        lease_ms: How long the row must be unchanged before another incarnation may take the lease.
 
     Attributes:
-        fence: The number of this holder's term, 0 while it never held the lease.
+        fence: The fencing number of this holder's last term, 0 before its first one.
+        holding: Whether this incarnation held the lease when the row was last read or written.
+        safe_until: Until when the holder may act on the lease, in the clock's milliseconds.
+        seen_version: The version of the row when it was last read or written.
+        seen_at: When that version was first seen, in the clock's milliseconds.
     """
 
     def __init__(
@@ -60,22 +65,22 @@
         self.seen_at = clock.now()
 
     def held(self) -> bool:
-        """Tell whether the lease is held and will be for a while yet."""
+        """Return whether the lease is held and safe to act on."""
         return self.holding and self.clock.now() < self.safe_until
 
     def check(self) -> None:
-        """Raise where the lease is not held.
+        """Raise an error if the lease is not held.
 
         Raises:
-            LeaseLostError: It is not held, or too near its end.
+            LeaseLostError: The lease is not held, or is too close to its expiry.
         """
         if not self.held():
             raise LeaseLostError(self.key)
 
     def step(self) -> bool:
-        """Renew the lease or try to take it; tell whether it is held.
+        """Renew the lease or try to take it; return whether it is held.
 
-        To be called several times a lease.
+        Must be called several times per lease.
         """
         try:
             row = self.table.read(self.key)
@@ -93,26 +98,26 @@
         return self.held()
 
     def watch(self, row: Row | None) -> None:
-        """Note when the row was first seen as it is now."""
+        """Note when the current version of the row was first seen."""
         version = row.version if row else ABSENT
         if version != self.seen_version:
             self.seen_version = version
             self.seen_at = self.clock.now()
 
     def is_over(self) -> bool:
-        """Tell whether the row has stood unchanged for a whole lease."""
+        """Return whether the row has been unchanged for a whole lease."""
         return self.clock.now() - self.seen_at >= self.lease_ms
 
     def is_mine(self, row: Row) -> bool:
-        """Tell whether a row names this incarnation."""
+        """Return whether a row names this incarnation as the holder."""
         return _table(row).get("holder") == self.incarnation
 
     def fence_of(self, row: Row | None) -> int:
-        """Return the number of a row's term."""
+        """Return the fencing number in a row, 0 for no row."""
         return 0 if row is None else int(_table(row)["fence"])
 
     def write(self, fence: int, version: int) -> None:
-        """Write the row; the lease is counted from before it was sent."""
+        """Write the row; the lease is counted from before the write was sent."""
         sent_at = self.clock.now()
         value = json.dumps({"holder": self.incarnation, "fence": fence, "at": sent_at}).encode()
         self.seen_version = self.table.commit([Write(self.key, value, version)])
@@ -122,7 +127,7 @@
         self.safe_until = sent_at + SAFE_SHARE * self.lease_ms
 
     def release(self) -> None:
-        """Give the lease up at once, where the store can be reached."""
+        """Release the lease at once, if the store can be reached."""
         self.holding = False
         try:
             row = self.table.read(self.key)
@@ -138,4 +143,4 @@
         table = json.loads(row.value)
         return {"holder": str(table["holder"]), "fence": int(table["fence"])}
     except MALFORMED as error:
-        raise BadRowError(f"{row.key}: no lease: {error}") from error
+        raise BadRowError(f"{row.key}: malformed lease: {error}") from error
--- a/packages/core/src/mountladder/store/memoryinstancelist.py
+++ b/packages/core/src/mountladder/store/memoryinstancelist.py
@@ -12,12 +12,12 @@
 
 
 class MemoryInstanceList(InstanceList):
-    """A list of instances that shows a change only after a lag.
+    """An in-memory list of instances that shows changes with a delay.
 
     Args:
-        clock: The clock that the lag is measured on.
-        lag_ms: How late a change shows, in milliseconds.
-        forget_ms: How long after its last announcement an instance is dropped.
+        clock: The clock that measures the delay.
+        lag_ms: The delay of changes, in milliseconds.
+        forget_ms: How long after its last announcement an instance is dropped, in milliseconds.
     """
 
     def __init__(self, clock: Clock, lag_ms: float = 0.0, forget_ms: float = 30_000.0) -> None:
@@ -27,7 +27,7 @@
         self.history: dict[str, list[tuple[float, Instance]]] = {}
 
     def instances(self) -> tuple[Instance, ...]:
-        """Return the instances as they stood one lag ago; see InstanceList."""
+        """Return the instances as of one delay ago; see InstanceList."""
         seen_until = self.clock.now() - self.lag_ms
         shown = (self.latest(name, seen_until) for name in sorted(self.history))
         return tuple(instance for instance in shown if instance)
@@ -41,7 +41,7 @@
             entries.pop(0)
 
     def latest(self, name: str, until: float) -> Instance | None:
-        """Return an instance as its last announcement before a time showed it."""
+        """Return an instance as last announced before a time, or None if it was dropped."""
         entries = [entry for entry in self.history[name] if entry[0] <= until]
         if not entries or until - entries[-1][0] > self.forget_ms:
             return None
--- a/packages/core/src/mountladder/store/memoryobjectstore.py
+++ b/packages/core/src/mountladder/store/memoryobjectstore.py
@@ -10,7 +10,7 @@
 
 
 class MemoryObjectStore(ObjectStore):
-    """An object store that lives in this process."""
+    """An object store in the memory of this process."""
 
     def __init__(self) -> None:
         self.objects: dict[str, bytes] = {}
--- a/packages/core/src/mountladder/store/memorytable.py
+++ b/packages/core/src/mountladder/store/memorytable.py
@@ -17,7 +17,7 @@
 
 
 class MemoryTable(Table):
-    """A table that lives in this process."""
+    """A table in the memory of this process."""
 
     def __init__(self) -> None:
         self.rows: SortedDict = SortedDict()
@@ -51,7 +51,7 @@
         return self.commits
 
     def holds(self, write: Write) -> bool:
-        """Tell whether a write's condition holds."""
+        """Return whether a write's condition holds."""
         if write.expected is None:
             return True
         row = self.rows.get(write.key)
--- a/packages/core/src/mountladder/store/objectstore.py
+++ b/packages/core/src/mountladder/store/objectstore.py
@@ -1,8 +1,8 @@
-# objectstore.py -- The platform's object store
+# objectstore.py -- Interface to the platform's object store
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform's object store."""
+"""Interface to the platform's object store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ObjectStore(ABC):
-    """Named objects, replaced whole."""
+    """Named objects, each of which is replaced as a whole."""
 
     @abstractmethod
     def get(self, name: str) -> bytes | None:
@@ -26,5 +26,5 @@
 
         Raises:
             StoreUnavailableError: The store refused; nothing was written.
-            StoreAmbiguousError: No answer came.
+            StoreAmbiguousError: No answer came; the object may have been written.
         """
--- a/packages/core/src/mountladder/store/platform.py
+++ b/packages/core/src/mountladder/store/platform.py
@@ -1,8 +1,8 @@
-# platform.py -- What the platform gives to one process
+# platform.py -- The platform's services, as given to one process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the platform gives to one process."""
+"""The platform's services, as given to one process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """The platform's services, behind their interfaces.
+    """The platform's services, by their interfaces.
 
     Attributes:
         table: The transactional table service.
--- a/packages/core/src/mountladder/store/position.py
+++ b/packages/core/src/mountladder/store/position.py
@@ -13,17 +13,17 @@
 class Position:
     """A position in the history of the platform's store, ordered by era and then by version.
 
-    After an outage the store may come back from a copy some seconds old. Versions then go back and
-    are given out again, so that two versions compare only within one era.
+    After an outage the store may be restored from a copy that is some seconds old. Versions then go
+    back and are assigned again, so that versions can be compared only within one era.
 
     Attributes:
-        era: How often the store has come back from an older copy, as it tells; 0 where it does not.
-        version: Which change of that era.
+        era: How often the store was restored from an older copy, as it reports; 0 if it does not.
+        version: The number of the last change in that era.
     """
 
     era: int
     version: int
 
 
-# Before anything was read.
+# The position before anything was read.
 BEGINNING = Position(0, 0)
--- a/packages/core/src/mountladder/store/row.py
+++ b/packages/core/src/mountladder/store/row.py
@@ -1,8 +1,8 @@
-# row.py -- One row of the table service
+# row.py -- A row of the table service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One row of the table service."""
+"""A row of the table service."""
 
 from __future__ import annotations
 
--- a/packages/core/src/mountladder/store/table.py
+++ b/packages/core/src/mountladder/store/table.py
@@ -1,8 +1,8 @@
-# table.py -- The platform's transactional table service
+# table.py -- Interface to the platform's transactional table service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform's transactional table service."""
+"""Interface to the platform's transactional table service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Table(ABC):
-    """Rows with versions, written by transactions that hold whole or not at all."""
+    """A table of versioned rows, written by atomic transactions."""
 
     @abstractmethod
     def read(self, key: str) -> Row | None:
@@ -26,7 +26,7 @@
 
     @abstractmethod
     def scan(self, prefix: str, after: str = "", limit: int = 100) -> list[Row]:
-        """Return the rows whose keys have a prefix and come after a key, in order of their keys.
+        """Return up to `limit` rows whose keys have a prefix and come after a key, in key order.
 
         Raises:
             StoreUnavailableError: The service cannot be reached.
--- a/packages/core/src/mountladder/store/write.py
+++ b/packages/core/src/mountladder/store/write.py
@@ -1,13 +1,14 @@
-# write.py -- One write of a transaction
+# write.py -- A conditional write of one row in a transaction
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One write of a transaction."""
+"""A conditional write of one row in a transaction."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+# The version of a row that does not exist.
 ABSENT = 0
 
 
@@ -18,7 +19,7 @@
     Attributes:
         key: The row's key.
         value: The new value, or None to delete the row.
-        expected: The version the row must have, ABSENT where there must be none, None for any.
+        expected: The version the row must have, ABSENT if it must not exist, None for any.
     """
 
     key: str
