--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -16,8 +16,8 @@
 from gevent import socket
 
 from fits import Fit
-from mountladder.claims.keybook import KeyBook
 from mountladder.claims.keyrecord import KeyRecord
+from mountladder.claims.keyregistry import KeyRegistry
 from mountladder.claims.keystate import KeyState
 from mountladder.clocks.systemclock import SystemClock
 from mountladder.clocks.virtualclock import VirtualClock
@@ -153,9 +153,9 @@
     return size / 1e6
 
 
-def keys(number: int) -> KeyBook:
+def keys(number: int) -> KeyRegistry:
     """The keys of finished requests, with answers of 500 bytes."""
-    book = KeyBook(VirtualClock())
+    book = KeyRegistry(VirtualClock())
     for one in range(number):
         answer = b'"' + b"x" * 500 + b'"'
         record = KeyRecord(
--- a/features/steps/bar_steps.py
+++ b/features/steps/bar_steps.py
@@ -17,14 +17,14 @@
 from mountladder.metrics.memorymetrics import MemoryMetrics
 from mountladder.quarantine.interruption import Interruption
 from mountladder.quarantine.quarantine import Quarantine
-from mountladder.quarantine.serverend import ServerEnd
+from mountladder.quarantine.servercrash import ServerCrash
 from mountladder.quarantine.suspicion import Suspicion
 from mountladder_cli.main import main
 from mountladder_entry import quarantinepages
 from mountladder_entry.httpclient import HttpClient
 
 WALL = 1_790_000_000_000.0
-ENDS = tuple(ServerEnd(f"i-{n}", 60.0 + n, WALL + 1_000.0 * n) for n in range(3))
+ENDS = tuple(ServerCrash(f"i-{n}", 60.0 + n, WALL + 1_000.0 * n) for n in range(3))
 BAR = Suspicion("ab" * 16, "llm", ENDS, bars=1, barred_at=WALL + 2_000.0)
 TOKEN = "secret"
 FAULTS = {
@@ -110,7 +110,7 @@
     quarantine = Quarantine(clock, MemoryMetrics())
     for n in range(3):
         lost = Interruption(BAR.fingerprint, f"r{n}", 900.0, clock.now() - 1_000.0 + 100.0 * n)
-        quarantine.interrupted(f"i-{n}", "llm", [lost])
+        quarantine.handle_crash(f"i-{n}", "llm", [lost])
     app = bottle.Bottle()
     quarantinepages.install(app, quarantine, TOKEN)
     context.address = serve(context, app)
--- a/features/steps/blame_steps.py
+++ b/features/steps/blame_steps.py
@@ -13,10 +13,10 @@
 from mountladder.errors import RefusalError
 from mountladder.forwarding.serverrecord import listed_server
 from mountladder.metrics.memorymetrics import MemoryMetrics
+from mountladder.quarantine.crashdetector import CrashDetector
 from mountladder.quarantine.interruption import Interruption
 from mountladder.quarantine.quarantine import Quarantine
-from mountladder.quarantine.serverend import ServerEnd
-from mountladder.quarantine.serverends import ServerEnds
+from mountladder.quarantine.servercrash import ServerCrash
 from mountladder.quarantine.suspicion import Suspicion
 from mountladder.requests.configuredlisting import ConfiguredListing
 
@@ -38,13 +38,13 @@
     """End a server of its own under the request, now."""
     context.starts += 1
     lost = Interruption(MARK, "r", ran_ms, context.clock.now(), alone=not shared)
-    book.interrupted(f"s{context.starts}", "llm", [lost])
+    book.handle_crash(f"s{context.starts}", "llm", [lost])
 
 
 @given("a request that was answered whole {ms:d} ms before")
 def answered_before(context, ms):
     context.clock.time = BEGIN_MS - ms
-    context.book.answer(MARK)
+    context.book.record_answer(MARK)
     context.clock.time = BEGIN_MS
 
 
@@ -67,7 +67,7 @@
     for at, ran_ms, shared in sorted(todo, key=lambda one: one[0]):
         context.clock.time = at
         if ran_ms is None:
-            context.book.interrupted(f"other {at}", "llm", [])
+            context.book.handle_crash(f"other {at}", "llm", [])
         else:
             end_under(context, context.book, ran_ms, shared)
 
@@ -77,21 +77,21 @@
     found = "not suspect"
     if context.book.is_suspect(MARK):
         found = "barred" if context.book.is_barred(MARK) else "suspect"
-    assert found == outcome, (found, context.book.known)
+    assert found == outcome, (found, context.book.suspicions)
 
 
 @given("books of suspects of two instances that tell each other")
 def two_books(context):
     a_book(context)
     first, second = context.book, Quarantine(context.clock, MemoryMetrics())
-    first.on_news = lambda news, source: source != "b" and second.take(news, "a")
-    second.on_news = lambda news, source: source != "a" and first.take(news, "b")
+    first.on_update = lambda news, source: source != "b" and second.merge(news, "a")
+    second.on_update = lambda news, source: source != "a" and first.merge(news, "b")
     context.books = (first, second)
 
 
 @given("a request that was answered whole at the first")
 def answered_at_first(context):
-    context.books[0].answer(MARK)
+    context.books[0].record_answer(MARK)
 
 
 @when("a server ends under it at the second")
@@ -125,7 +125,7 @@
 
 @when("the copy is answered whole after {ms:d} ms")
 def copy_answered(context, ms):
-    context.clock.call_later(ms, lambda: context.book.answer(MARK))
+    context.clock.call_later(ms, lambda: context.book.record_answer(MARK))
 
 
 @when("a server ends under the copy after {ms:d} ms")
@@ -162,8 +162,8 @@
         context.told.append(start)
         context.lost += [one.request for one in lost]
 
-    context.watch = ServerEnds(refuses, ConfiguredListing(), context.clock)
-    context.watch.on_ended = ended
+    context.watch = CrashDetector(refuses, ConfiguredListing(), context.clock)
+    context.watch.on_crashed = ended
 
 
 @when("two connections to a server that has ended break {ms:d} ms apart")
@@ -182,7 +182,7 @@
 def lose(context, request):
     """Lose the connection of a request to a server, now."""
     server = listed_server("s", "llm", "s", "a", 8, False)
-    context.watch.broke(server, [Interruption(MARK, request, 60.0, context.clock.now())])
+    context.watch.investigate(server, [Interruption(MARK, request, 60.0, context.clock.now())])
 
 
 @when("a connection to a server breaks while it lives, and {ms:d} ms later another one as it ends")
@@ -216,7 +216,7 @@
 
 @then("at most {number:d} of them are in doubt")
 def in_doubt(context, number):
-    (found,) = context.watch.open.values()
+    (found,) = context.watch.unresolved.values()
     assert len(found[1]) <= number, len(found[1])
 
 
@@ -242,7 +242,7 @@
         elif word == "barred":
             known = known.merged(Suspicion(MARK, bars=1, barred_at=at))
         else:
-            end = ServerEnd(word, 60.0, at)
+            end = ServerCrash(word, 60.0, at)
             known = known.merged(Suspicion(MARK, "llm", (end,)))
     return known
 
@@ -256,7 +256,7 @@
 def merge_to(context, merged):
     first, second = context.two
     for found in (first.merged(second), second.merged(first)):
-        words = [one.server for one in found.ends] + ["barred"] * bool(found.bars)
+        words = [one.server for one in found.crashes] + ["barred"] * bool(found.bars)
         assert (" ".join(words) or "nothing") == merged, found
 
 
@@ -274,10 +274,10 @@
                 clock.call_later(ms, lambda book=book: take(book, told, sender))
 
     def take(book, told, sender):
-        book.take([one.shifted(clock.now()) for one in told], str(sender))
+        book.merge([one.shifted(clock.now()) for one in told], str(sender))
 
     for number, book in enumerate(context.slow_books):
-        book.on_news = lambda news, source, number=number: tell(number, news, source)
+        book.on_update = lambda news, source, number=number: tell(number, news, source)
 
 
 @when("a server ends under a request at the first, which sends it on")
@@ -285,9 +285,9 @@
     def end():
         context.slow_clock.sleep(1_000.0)
         lost = Interruption("f" * 32, "r", 60.0, context.slow_clock.now(), True)
-        context.slow_books[0].interrupted("llm-1", "llm", [lost])
+        context.slow_books[0].handle_crash("llm-1", "llm", [lost])
         context.slow_clock.sleep(100.0)
-        context.slow_books[0].sending("f" * 32, "r")
+        context.slow_books[0].record_sent("f" * 32, "r")
 
     context.slow_clock.run(gevent.spawn(end))
 
@@ -296,7 +296,7 @@
 def told_once(context, ms, most):
     context.slow_clock.run(gevent.spawn(context.slow_clock.sleep, float(ms)))
     for book in context.slow_books:
-        assert book.known["f" * 32].under_way_since() > 0.0
+        assert book.suspicions["f" * 32].in_flight_since() > 0.0
     assert len(context.messages) <= most, len(context.messages)
 
 
@@ -310,9 +310,9 @@
     def end():
         context.slow_clock.sleep(1_000.0)
         lost = Interruption("f" * 32, "r", 60.0, context.slow_clock.now(), True)
-        context.slow_books[0].interrupted("llm-1", "llm", [lost])
+        context.slow_books[0].handle_crash("llm-1", "llm", [lost])
         context.slow_clock.sleep(float(ms))
-        book.answer("f" * 32)
+        book.record_answer("f" * 32)
 
     context.slow_clock.run(gevent.spawn(end))
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -48,7 +48,7 @@
 
 @given("instance {name} keeps at most {number:d} records of keys")
 def few_records(context, name, number):
-    context.fleet.runtimes[name].idempotency.book.most_records = number
+    context.fleet.runtimes[name].idempotency.registry.max_records = number
 
 
 @when('{number:d} more pushes with issued keys are sent to "{to}", one every {ms:d} ms')
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -213,7 +213,7 @@
         table.faults = dataclasses.replace(table.faults, slow_ms=20.0, lose_answers=1)
 
     def work():
-        tasks = [gevent.spawn(one.lease.step) for one in context.holders.values()]
+        tasks = [gevent.spawn(one.lease.renew_or_acquire) for one in context.holders.values()]
         gevent.joinall(tasks)
 
     context.run(work)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -13,9 +13,9 @@
 from forwardbasics import PATHS, catalogue, request, serve
 
 from mountladder.quarantine.interruption import Interruption
-from mountladder.quarantine.memorybarstore import MemoryBarStore
-from mountladder.quarantine.serverend import ServerEnd
-from mountladder.quarantine.suspicion import BARS_MS, NEVER, Suspicion
+from mountladder.quarantine.memorysuspicionstore import MemorySuspicionStore
+from mountladder.quarantine.servercrash import ServerCrash
+from mountladder.quarantine.suspicion import BAR_DURATIONS_MS, NEVER, Suspicion
 from mountladder_standins.serverfault import ServerFault
 
 SETTLE_MS = 700.0
@@ -215,19 +215,21 @@
 
 
 def books(context):
-    return [one.quarantine.book for one in context.fleet.instances.values()]
+    return [one.quarantine.registry for one in context.fleet.instances.values()]
 
 
 @then("nothing is suspect")
 def nothing_suspect(context):
     context.run(context.clock.sleep, NEWS_MS)
-    suspects = [one for book in books(context) for one in book.known.values() if one.is_suspect]
+    suspects = [
+        one for book in books(context) for one in book.suspicions.values() if one.is_suspect
+    ]
     assert not suspects, suspects
 
 
 @then("nothing is barred")
 def nothing_barred(context):
-    barred = [one for book in books(context) for one in book.known.values() if one.bars]
+    barred = [one for book in books(context) for one in book.suspicions.values() if one.bars]
     assert not barred, barred
 
 
@@ -282,7 +284,7 @@
         gevent.joinall(tasks)
 
     context.run(send_and_end)
-    assert any(one.is_suspect for book in books(context) for one in book.known.values())
+    assert any(one.is_suspect for book in books(context) for one in book.suspicions.values())
 
 
 @when("the same {number:d} requests come again")
@@ -391,14 +393,14 @@
 @given("a deadly stream request was barred")
 def was_barred(context):
     send_series(context, context.fleet.instances, 3, 800)
-    assert all(one.bars == 1 for book in books(context) for one in book.known.values())
+    assert all(one.bars == 1 for book in books(context) for one in book.suspicions.values())
     context.ended_before = len(context.fleet.upstream.ended)
 
 
 @given("its bar has ended")
 def bar_ended(context):
     # All instances sleep through it, which takes no ten minutes of heartbeats.
-    context.clock.time += BARS_MS[0]
+    context.clock.time += BAR_DURATIONS_MS[0]
     context.run(context.clock.sleep, 5_000.0)
 
 
@@ -421,28 +423,28 @@
 @then("it is barred for {seconds:d} s everywhere")
 def barred_for(context, seconds):
     for book in books(context):
-        (one,) = book.known.values()
+        (one,) = book.suspicions.values()
         left_ms = one.barred_until - context.clock.now()
         assert abs(left_ms - 1000.0 * seconds) < 3_000.0, left_ms
 
 
 @when("an operator clears it at {name}")
 def operator_clears(context, name):
-    quarantine = context.fleet.instances[name].quarantine.book
-    (fingerprint,) = quarantine.known
+    quarantine = context.fleet.instances[name].quarantine.registry
+    (fingerprint,) = quarantine.suspicions
     assert quarantine.lift(fingerprint)
     context.run(context.clock.sleep, 20.0)
 
 
 @when("{number:d} other requests become suspect at {name}")
 def many_suspects(context, number, name):
-    quarantine = context.fleet.instances[name].quarantine.book
+    quarantine = context.fleet.instances[name].quarantine.registry
 
     def suspect_all():
         for n in range(number):
             now = context.clock.now()
             lost = Interruption(f"{n:032x}", f"r{n}", 900.0, now)
-            quarantine.interrupted(f"s-{n}", "llm", [lost])
+            quarantine.handle_crash(f"s-{n}", "llm", [lost])
             context.clock.sleep(1.0)
 
     context.run(suspect_all)
@@ -450,7 +452,7 @@
 
 @then("the book of {name} holds {number:d} entries, the bar among them")
 def book_holds(context, name, number):
-    book = context.fleet.instances[name].quarantine.book.known
+    book = context.fleet.instances[name].quarantine.registry.suspicions
     assert len(book) == number, len(book)
     assert sum(one.bars for one in book.values()) == 1
 
@@ -562,7 +564,7 @@
 def cannot_write(context):
     instances = context.fleet.instances
     context.sent_to = next(n for n, one in instances.items() if not one.fleet.readers.reading)
-    unreachable = MemoryBarStore()
+    unreachable = MemorySuspicionStore()
     unreachable.down = True
     instances[context.sent_to].bar_keeper.store = unreachable
 
@@ -575,8 +577,11 @@
 @given("the table of bars holds one that was over {hours:d} hours ago and one that is in force")
 def old_bars(context, hours):
     wall = context.clock.wall()
-    for mark, at in (("0a" * 16, wall - BARS_MS[0] - 3_600_000.0 * hours), ("0b" * 16, wall)):
-        ends = (ServerEnd("s", 60.0, at),)
+    for mark, at in (
+        ("0a" * 16, wall - BAR_DURATIONS_MS[0] - 3_600_000.0 * hours),
+        ("0b" * 16, wall),
+    ):
+        ends = (ServerCrash("s", 60.0, at),)
         context.fleet.bars.write(Suspicion(mark, "llm", ends, bars=1, barred_at=at))
 
 
@@ -597,7 +602,7 @@
     now = context.clock.now()
     for n in range(number):
         suspicion = Suspicion(f"{n:032x}", "llm", (), now, NEVER, 1, now)
-        instance.bar_keeper.take_bar(suspicion, seen_here=True)
+        instance.bar_keeper.queue_bar(suspicion, seen_here=True)
 
 
 @then("the table of bars holds {number:d} within {ms:d} ms")
--- a/packages/core/src/mountladder/claims/groupcommit.py
+++ b/packages/core/src/mountladder/claims/groupcommit.py
@@ -18,7 +18,7 @@
 from mountladder.store.table import Table
 from mountladder.store.write import ABSENT, Write
 
-MOST_IN_BATCH = 100
+MAX_BATCH_WRITES = 100
 RETRY_PAUSE_MS = 50.0
 
 
@@ -90,16 +90,16 @@
         """Commit submitted writes, for ever."""
         while True:
             self.arrived.wait()
-            self.commit(self.take())
+            self.commit(self.next_batch())
             if not self.queue:
                 self.arrived.clear()
             self.clock.sleep(self.window_ms)
 
-    def take(self) -> list[PendingWrite]:
+    def next_batch(self) -> list[PendingWrite]:
         """Remove the next batch from the queue, with at most one write for each row."""
         batch: dict[str, PendingWrite] = {}
         rest: list[PendingWrite] = []
-        while self.queue and len(batch) < MOST_IN_BATCH:
+        while self.queue and len(batch) < MAX_BATCH_WRITES:
             pending = self.queue.popleft()
             if pending.write.key in batch:
                 rest.append(pending)
@@ -118,7 +118,7 @@
             except ConditionFailedError as error:
                 batch = self.without_failed(batch, frozenset(error.keys))
             except (StoreAmbiguousError, StoreUnavailableError) as error:
-                self.put_back(batch, error)
+                self.requeue(batch, error)
                 return
             else:
                 self.rows += len(batch)
@@ -149,7 +149,7 @@
         else:
             pending.fail(ConditionFailedError((pending.write.key,)))
 
-    def put_back(
+    def requeue(
         self, batch: list[PendingWrite], error: StoreUnavailableError | StoreAmbiguousError
     ) -> None:
         """Pause, and requeue the writes that still have time."""
@@ -157,8 +157,8 @@
         for pending in batch:
             pending.ambiguous = pending.ambiguous or isinstance(error, StoreAmbiguousError)
         self.clock.sleep(RETRY_PAUSE_MS)
-        open_ = [pending for pending in batch if not pending.settled.is_set()]
-        for pending in reversed(open_):
+        unsettled = [pending for pending in batch if not pending.settled.is_set()]
+        for pending in reversed(unsettled):
             if self.clock.now() >= pending.until:
                 self.give_up(pending, error)
             else:
--- a/packages/core/src/mountladder/claims/idempotency.py
+++ b/packages/core/src/mountladder/claims/idempotency.py
@@ -16,9 +16,9 @@
 from mountladder.claims.claimrow import CLAIM_PREFIX, claim_key, claim_write, claimed_at
 from mountladder.claims.groupcommit import GroupCommit
 from mountladder.claims.issuedkey import IssuedKey, is_issued
-from mountladder.claims.keybook import KeyBook
 from mountladder.claims.keydecision import KeyDecision
 from mountladder.claims.keyrecord import KeyRecord
+from mountladder.claims.keyregistry import KeyRegistry
 from mountladder.claims.keystate import KeyState
 from mountladder.clocks.clock import Clock
 from mountladder.code import Code
@@ -38,12 +38,12 @@
 from mountladder.store.write import Write
 
 # Issued keys that are older are not run.
-ISSUED_KEEP_MS = 3_600_000.0
+ISSUED_KEY_TTL_MS = 3_600_000.0
 # Fraction of a request's remaining time that may be spent on the claim.
-CLAIM_SHARE = 0.5
+CLAIM_FRACTION = 0.5
 # How long writes that no caller waits for are tried.
-SETTLE_MS = 60_000.0
-LONGEST_KEY = 200
+BACKGROUND_WRITE_MS = 60_000.0
+MAX_KEY_LENGTH = 200
 RETRY_AFTER_MS = 1_000.0
 
 
@@ -58,7 +58,7 @@
         instance: The name of this instance.
         incarnation: The incarnation of this instance.
         secret: The fleet's key, which authenticates issued keys.
-        book: The records of keys in memory.
+        registry: The records of keys in memory.
         commits: Writes claims.
         table: Reads claims.
         clock: The clock.
@@ -67,7 +67,7 @@
     Attributes:
         versions: The versions of the claim rows of running requests, by key.
         tasks: Background writes that no caller waits for.
-        forgotten_until: The latest issue time, in the clock's milliseconds, of the issued keys
+        evicted_until: The latest issue time, in the clock's milliseconds, of the issued keys
             whose records were evicted.
         alive: Returns whether an incarnation is believed to be alive.
     """
@@ -77,7 +77,7 @@
         instance: str,
         incarnation: str,
         secret: bytes,
-        book: KeyBook,
+        registry: KeyRegistry,
         commits: GroupCommit,
         table: Table,
         clock: Clock,
@@ -86,15 +86,15 @@
         self.instance = instance
         self.incarnation = incarnation
         self.secret = secret
-        self.book = book
+        self.registry = registry
         self.commits = commits
         self.table = table
         self.clock = clock
         self.metrics = metrics
         self.versions: dict[str, int] = {}
         self.tasks = Group()
-        self.forgotten_until = float("-inf")
-        book.on_forget = self.forgotten
+        self.evicted_until = float("-inf")
+        registry.on_evict = self.note_evicted
         self.numbers = itertools.count(1)
         self.alive: Callable[[str], bool] = lambda incarnation: True
 
@@ -111,16 +111,16 @@
             RunError: The request may have run, or is running.
         """
         key = full_key(request)
-        known = self.book.find(key)
+        known = self.registry.find(key)
         while known is not None and known.state is KeyState.RUNNING:
             self.check_fingerprint(known, request)
             remaining = request.deadline - self.clock.now()
             if remaining <= 0:
                 break
-            self.book.wait(key, remaining)
-            known = self.book.find(key)
+            self.registry.wait(key, remaining)
+            known = self.registry.find(key)
         if known is not None:
-            return self.repeat(known, request)
+            return self.decide_known(known, request)
         if is_issued(request.key):
             return self.decide_issued(request)
         return self.decide_claimed(request)
@@ -129,28 +129,28 @@
         """Decide on an issued key that has no record here."""
         issued = IssuedKey.parse(request.key, self.secret, request.team.name)
         if issued.incarnation != self.incarnation:
-            return KeyDecision(home=issued)
-        too_old = self.clock.now() - issued.at_ms > ISSUED_KEEP_MS
-        if too_old or issued.at_ms <= self.forgotten_until:
+            return KeyDecision(issued_key=issued)
+        too_old = self.clock.now() - issued.at_ms > ISSUED_KEY_TTL_MS
+        if too_old or issued.at_ms <= self.evicted_until:
             raise RunError("", Code.KEY_EXPIRED)
-        return KeyDecision(run=self.hold(request))
+        return KeyDecision(run=self.record_running(request))
 
     def decide_claimed(self, request: Request) -> KeyDecision:
         """Claim a caller's own key in the store and decide on its request."""
-        record = self.hold(request)
+        record = self.record_running(request)
         now = self.clock.now()
-        until = now + max(0.0, request.deadline - now) * CLAIM_SHARE
+        until = now + max(0.0, request.deadline - now) * CLAIM_FRACTION
         try:
             version = self.commits.submit(claim_write(record), until)
         except ConditionFailedError:
-            self.book.drop(record.key)
-            return self.repeat_of_claim(record.key, request)
+            self.registry.drop(record.key)
+            return self.decide_existing_claim(record.key, request)
         except StoreAmbiguousError as error:
-            self.book.drop(record.key)
+            self.registry.drop(record.key)
             self.tasks.spawn(self.settle_claim, record)
             raise self.store_needed(error) from error
         except BaseException as error:
-            self.book.drop(record.key)
+            self.registry.drop(record.key)
             if isinstance(error, StoreUnavailableError):
                 raise self.store_needed(error) from error
             raise
@@ -158,7 +158,7 @@
         self.metrics.count(Metric.CLAIMS)
         return KeyDecision(run=record)
 
-    def forgotten(self, key: str) -> None:
+    def note_evicted(self, key: str) -> None:
         """Note that the record of a key was evicted.
 
         Issued keys as old as that one or older are not run any more, since their records may have
@@ -167,9 +167,9 @@
         own = key.partition("/")[2]
         if is_issued(own):
             at_ms = int(own.split("~")[4])
-            self.forgotten_until = max(self.forgotten_until, at_ms)
+            self.evicted_until = max(self.evicted_until, at_ms)
 
-    def hold(self, request: Request) -> KeyRecord:
+    def record_running(self, request: Request) -> KeyRecord:
         """Record a key as running, so that repeats of the request on this instance wait for it."""
         record = KeyRecord(
             full_key(request),
@@ -178,14 +178,14 @@
             request.fingerprint,
             self.clock.wall(),
         )
-        self.book.begin(record)
+        self.registry.begin(record)
         return record
 
     def store_needed(self, error: MountladderError) -> RefusalError:
         """Return the error for a request whose key cannot be claimed."""
         return RefusalError(error.detail, Code.STORE_NEEDED, retry_after_ms=RETRY_AFTER_MS)
 
-    def repeat_of_claim(self, key: str, request: Request) -> KeyDecision:
+    def decide_existing_claim(self, key: str, request: Request) -> KeyDecision:
         """Decide on a request whose key has been claimed in the store."""
         try:
             row = self.table.read(claim_key(key))
@@ -193,9 +193,9 @@
             raise RunError("the key is claimed", Code.KEY_OUTCOME_UNKNOWN) from error
         if row is None:
             raise RefusalError("the key was just released", Code.STORE_NEEDED, retry_after_ms=0)
-        return self.repeat(KeyRecord.decode(row.value), request)
+        return self.decide_known(KeyRecord.decode(row.value), request)
 
-    def repeat(self, known: KeyRecord, request: Request) -> KeyDecision:
+    def decide_known(self, known: KeyRecord, request: Request) -> KeyDecision:
         """Decide on a request whose key has a record.
 
         Raises:
@@ -232,14 +232,14 @@
 
     def end(self, record: KeyRecord) -> None:
         """Record the outcome of a request that ran."""
-        self.book.end(record)
+        self.registry.end(record)
         version = self.versions.pop(record.key, None)
         write = Write(claim_key(record.key), record.encode(), version)
         self.tasks.spawn(self.try_write, write)
 
     def release(self, record: KeyRecord) -> None:
         """Release a key whose request did not run."""
-        self.book.drop(record.key)
+        self.registry.drop(record.key)
         version = self.versions.pop(record.key, None)
         if version is not None:
             self.tasks.spawn(self.try_write, Write(claim_key(record.key), None, version))
@@ -248,7 +248,7 @@
         """Release a claim that may or may not have been written."""
         write = claim_write(record)
         try:
-            version = self.commits.submit(write, self.clock.now() + SETTLE_MS)
+            version = self.commits.submit(write, self.clock.now() + BACKGROUND_WRITE_MS)
         except (ConditionFailedError, StoreUnavailableError, StoreAmbiguousError):
             return
         self.try_write(Write(write.key, None, version))
@@ -256,11 +256,11 @@
     def try_write(self, write: Write) -> None:
         """Write to the store if it can be reached; at-most-once does not depend on it."""
         try:
-            self.commits.submit(write, self.clock.now() + SETTLE_MS)
+            self.commits.submit(write, self.clock.now() + BACKGROUND_WRITE_MS)
         except (ConditionFailedError, StoreUnavailableError, StoreAmbiguousError) as error:
             self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
 
-    def answer_of(self, request: Request) -> KeyDecision:
+    def stored_answer(self, request: Request) -> KeyDecision:
         """Read the answer to an issued key from the store, as its issuing instance is gone.
 
         Raises:
@@ -272,7 +272,7 @@
             row = None
         if row is None:
             raise RunError("", Code.KEY_HOME_GONE)
-        return self.repeat(KeyRecord.decode(row.value), request)
+        return self.decide_known(KeyRecord.decode(row.value), request)
 
     def sweep(self, after: str, keep_ms: float, page: int) -> str:
         """Delete the expired claims of one page of rows.
@@ -307,5 +307,5 @@
     Raises:
         RefusalError: The key is too long or has characters other than visible ASCII.
     """
-    if len(text) > LONGEST_KEY or not text.isascii() or not text.isprintable() or " " in text:
-        raise RefusalError(f"expected up to {LONGEST_KEY} visible characters", Code.KEY_INVALID)
+    if len(text) > MAX_KEY_LENGTH or not text.isascii() or not text.isprintable() or " " in text:
+        raise RefusalError(f"expected up to {MAX_KEY_LENGTH} visible characters", Code.KEY_INVALID)
--- a/packages/core/src/mountladder/claims/keydecision.py
+++ b/packages/core/src/mountladder/claims/keydecision.py
@@ -19,9 +19,9 @@
     Attributes:
         run: The record under which to run it here.
         replay: The kept answer to return, as JSON.
-        home: The issued key, if the request must be passed to the instance that issued it.
+        issued_key: The issued key, if the request must be passed to the instance that issued it.
     """
 
     run: KeyRecord | None = None
     replay: bytes | None = None
-    home: IssuedKey | None = None
+    issued_key: IssuedKey | None = None
--- a/packages/core/src/mountladder/claims/submitter.py
+++ b/packages/core/src/mountladder/claims/submitter.py
@@ -29,14 +29,14 @@
 from mountladder.store.write import Write
 
 # Fraction of the remaining time that a peer is given for a commit.
-ASK_SHARE = 0.5
+PEER_TIME_FRACTION = 0.5
 # How long a reply may take beyond that time.
 REPLY_MARGIN_MS = 20.0
 # Time limit of a commit by this instance, if it can be tried through other data centres next.
-BRIEFLY_MS = 300.0
+BRIEF_COMMIT_MS = 300.0
 # How long other data centres are tried first after a commit by this instance failed.
-MISTRUST_MS = 5_000.0
-Way = Callable[[Write, float], int]
+DIRECT_BACKOFF_MS = 5_000.0
+CommitPath = Callable[[Write, float], int]
 
 
 class Submitter:
@@ -62,14 +62,14 @@
         self.waiting: dict[int, Event] = {}
         self.replies: dict[int, Submitted] = {}
         peers.on_submit = self.commit_for_peer
-        peers.on_submitted = self.take_reply
+        peers.on_submitted = self.receive_reply
 
     def submit(self, write: Write, until: float) -> int:
         """Commit a write and return the new version of its row; see GroupCommit.submit."""
         ambiguous = False
-        for way in self.ways():
+        for path in self.paths():
             try:
-                return way(write, until)
+                return path(write, until)
             except (StoreUnavailableError, StoreAmbiguousError) as error:
                 ambiguous = ambiguous or isinstance(error, StoreAmbiguousError)
             if self.clock.now() >= until:
@@ -78,20 +78,20 @@
             raise StoreAmbiguousError("the store did not answer on any path")
         raise StoreUnavailableError("the store cannot be reached on any path")
 
-    def ways(self) -> list[Way]:
+    def paths(self) -> list[CommitPath]:
         """Return the paths to the store in the order to try them.
 
         The direct path of this instance comes last for a while after it failed, if there are
         others.
         """
-        outside = [partial(self.ask, link) for link in self.outside_links()]
-        gatherer = self.gatherer()
-        first = [partial(self.ask, gatherer)] if gatherer is not None else []
-        if not outside:
+        remote = [partial(self.commit_through_peer, link) for link in self.remote_links()]
+        committer = self.committer()
+        first = [partial(self.commit_through_peer, committer)] if committer is not None else []
+        if not remote:
             return [*first, self.commit_here]
-        if self.clock.now() - self.failed_at < MISTRUST_MS:
-            return [*first, *outside, self.commit_here]
-        return [*first, self.commit_briefly, *outside, self.commit_here]
+        if self.clock.now() - self.failed_at < DIRECT_BACKOFF_MS:
+            return [*first, *remote, self.commit_here]
+        return [*first, self.commit_briefly, *remote, self.commit_here]
 
     def commit_here(self, write: Write, until: float) -> int:
         """Commit a write from this instance."""
@@ -100,29 +100,29 @@
     def commit_briefly(self, write: Write, until: float) -> int:
         """Commit a write from this instance within a short time limit."""
         try:
-            return self.commits.submit(write, min(until, self.clock.now() + BRIEFLY_MS))
+            return self.commits.submit(write, min(until, self.clock.now() + BRIEF_COMMIT_MS))
         except (StoreUnavailableError, StoreAmbiguousError):
             self.failed_at = self.clock.now()
             raise
 
-    def outside_links(self) -> list[Link]:
+    def remote_links(self) -> list[Link]:
         """Return the links to other data centres."""
         here = self.peers.membership.me.datacentre
         links = self.peers.links.values()
-        return [one for one in links if one.peer is not None and one.peer.datacentre != here]
+        return [link for link in links if link.peer is not None and link.peer.datacentre != here]
 
-    def gatherer(self) -> Link | None:
+    def committer(self) -> Link | None:
         """Return the link to the instance that commits for others, or None if this one may."""
         live = self.peers.membership.live()
         if len(live) < GATHERED_FROM or live[0].name == self.peers.membership.me.name:
             return None
         return self.peers.links.get(live[0].peer)
 
-    def ask(self, link: Link, write: Write, until: float) -> int:
+    def commit_through_peer(self, link: Link, write: Write, until: float) -> int:
         """Commit a write through a peer."""
         number = next(self.numbers)
         replied = self.waiting[number] = Event()
-        within = max(0.0, until - self.clock.now()) * ASK_SHARE
+        within = max(0.0, until - self.clock.now()) * PEER_TIME_FRACTION
         try:
             self.peers.send(link, Submit(number, write, int(within)))
             if not self.clock.wait(replied, within + REPLY_MARGIN_MS):
@@ -142,7 +142,7 @@
             return Submitted(submit.number, 0, error.code.number)
         return Submitted(submit.number, version, 0)
 
-    def take_reply(self, submitted: Submitted) -> None:
+    def receive_reply(self, submitted: Submitted) -> None:
         """Pass a reply to the task that waits for it."""
         replied = self.waiting.get(submitted.number)
         if replied is not None:
--- a/packages/core/src/mountladder/engines/orders.py
+++ b/packages/core/src/mountladder/engines/orders.py
@@ -65,7 +65,7 @@
         The engines are read the more seldom the more there are, so that the holder's work stays
         bounded.
         """
-        if not self.lease.step():
+        if not self.lease.renew_or_acquire():
             self.ordered.clear()
             self.next_at = 0.0
             return
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -90,8 +90,8 @@
         self.notices = notices
         self.catalogue = catalogue
         self.upstream = upstream
-        self.ends = quarantine.ends
-        self.quarantine = quarantine.book
+        self.ends = quarantine.detector
+        self.quarantine = quarantine.registry
         self.budget = budget
         self.clock = clock
         self.metrics = metrics
@@ -239,7 +239,7 @@
         self.servers.begin(state, run.call)
         for progress, _ in batch:
             progress.begun = True
-            if self.quarantine.goes_alone(progress.job.fingerprint):
-                self.quarantine.sending(progress.job.fingerprint, progress.job.request)
+            if self.quarantine.needs_own_call(progress.job.fingerprint):
+                self.quarantine.record_sent(progress.job.fingerprint, progress.job.request)
             self.room.reserve(state.server.name, progress.job.result_bytes)
         gevent.spawn(run.run)
--- a/packages/core/src/mountladder/forwarding/batchrun.py
+++ b/packages/core/src/mountladder/forwarding/batchrun.py
@@ -21,8 +21,8 @@
 from mountladder.forwarding.pieceresult import PieceResult
 from mountladder.forwarding.stagecallstate import StageCallState
 from mountladder.metrics.metric import Metric
-from mountladder.quarantine.case import broke
 from mountladder.quarantine.interruption import Interruption
+from mountladder.quarantine.trackedattempt import connection_broke
 from mountladder.routing.serverstate import ServerState
 
 if TYPE_CHECKING:
@@ -166,7 +166,7 @@
             self.home.release([result.handle])
         else:
             progress.settle(fragment, replace(result, datacentre=self.state.server.datacentre))
-            self.home.quarantine.answer(progress.job.fingerprint)
+            self.home.quarantine.record_answer(progress.job.fingerprint)
 
     def failed(self, error: StageError) -> None:
         """Learn from a call without an answer, and send its pieces again."""
@@ -207,7 +207,7 @@
 
     def look_into(self, error: StageError) -> None:
         """Find out whether the server has ended where the call to it broke."""
-        if not broke(error):
+        if not connection_broke(error):
             return
         now = self.home.clock.now()
         ran_ms = now - self.call.started
@@ -217,7 +217,7 @@
             for job in jobs.values()
             if job.fingerprint
         ]
-        self.home.ends.broke(self.state.server, lost)
+        self.home.ends.investigate(self.state.server, lost)
 
     def repeat(self, progress: JobProgress, fragment: int, result: PieceResult) -> None:
         """Let a piece wait again, where it may still be sent."""
--- a/packages/core/src/mountladder/forwarding/directorylisting.py
+++ b/packages/core/src/mountladder/forwarding/directorylisting.py
@@ -26,7 +26,7 @@
         """Return the newest entry under a server's id, if any."""
         return self.directory.records.get(server.labels[ID_LABEL])
 
-    def is_planned(self, server: BackendServer) -> bool:
+    def is_shutting_down(self, server: BackendServer) -> bool:
         """Tell whether a server was leaving; see ServerListing."""
         record = self.record(server)
         return record is None or record.server is None or record.server.draining
@@ -36,7 +36,7 @@
         record = self.record(server)
         return record is None or record.server is None or record.server.name != server.name
 
-    def start_name(self, server: BackendServer, ended_at: float) -> str:
+    def incarnation_name(self, server: BackendServer, crashed_at: float) -> str:
         """Return the server's name, which each start has for itself; see ServerListing."""
         return server.name
 
--- a/packages/core/src/mountladder/forwarding/fleet.py
+++ b/packages/core/src/mountladder/forwarding/fleet.py
@@ -34,7 +34,7 @@
 from mountladder.membership.membership import MISSED_HEARTBEATS, Membership
 from mountladder.membership.network import Network
 from mountladder.metrics.metrics import Metrics
-from mountladder.store.eras import Eras
+from mountladder.store.eratracker import EraTracker
 from mountladder.store.position import Position
 
 # How long the store's own news of a change is waited for before a peer is asked for it.
@@ -79,7 +79,7 @@
         super().__init__(membership, network, clock, metrics, seeds)
         self.follower = follower
         self.directory = directory
-        self.eras = Eras()
+        self.eras = EraTracker()
         self.transfer = CatalogueTransfer(follower, clock, self.send)
         self.ranking = Ranking(membership)
         self.division = Division(directory, membership.me.datacentre)
@@ -244,7 +244,7 @@
         self.membership.hear(link.peer, message.leaving)
         self.readers.hear(link.peer, message)
         self.directory.drains.apply(message.drains, source)
-        self.eras.see(message.directory.era, source)
+        self.eras.observe(message.directory.era, source)
         if message.reads and message.fed and message.catalogue <= self.follower.version:
             self.follower.confirm(self.clock.now())
         if message.judges and link.peer.datacentre == self.membership.me.datacentre:
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -46,8 +46,8 @@
 from mountladder.membership.network import Network
 from mountladder.metrics.metrics import Metrics
 from mountladder.notices.noticeboard import NoticeBoard
-from mountladder.quarantine.barkeeper import BarKeeper
 from mountladder.quarantine.quarantineservice import QuarantineService
+from mountladder.quarantine.suspicionpersister import SuspicionPersister
 from mountladder.routing.costmodel import CostModel
 from mountladder.routing.expectedcompletion import ExpectedCompletion
 from mountladder.routing.router import Router
@@ -164,11 +164,11 @@
             self.clock,
             self.metrics,
         )
-        self.directory.listeners.append(self.quarantine.ends.look)
-        book, readers = self.quarantine.book, self.fleet.readers
-        book.on_server_ended = self.take_out
-        self.bar_keeper = BarKeeper(self.tables.bars, book, readers, self.clock)
-        self.fleet.eras.listeners.append(self.bar_keeper.write_again)
+        self.directory.listeners.append(self.quarantine.detector.check_listing)
+        registry, readers = self.quarantine.registry, self.fleet.readers
+        registry.on_server_crashed = self.take_out
+        self.bar_keeper = SuspicionPersister(self.tables.bars, registry, readers, self.clock)
+        self.fleet.eras.listeners.append(self.bar_keeper.rewrite_recent)
 
     def take_out(self, name: str) -> None:
         """Use a server no more that has ended, whoever noticed."""
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -79,7 +79,7 @@
         self.gives_way = False
         self.turn = Turn(self)
         texts = (self.team, request.method, request.host, request.target)
-        self.case = context.quarantine.case(request.id, texts, request.body)
+        self.case = context.quarantine.track(request.id, texts, request.body)
         context.budget(self.service).earn()
 
     @property
--- a/packages/core/src/mountladder/forwarding/memberreader.py
+++ b/packages/core/src/mountladder/forwarding/memberreader.py
@@ -16,7 +16,7 @@
 from mountladder.forwarding.memberlist import MemberList
 from mountladder.forwarding.want import Want
 from mountladder.membership.link import Link
-from mountladder.store.eras import OLDEST_COPY_MS
+from mountladder.store.eratracker import MAX_COPY_AGE_MS
 from mountladder.store.instancelist import InstanceList
 
 # How often the list is read again; new instances make themselves known before.
@@ -75,7 +75,7 @@
         just started stays well below what the store takes in a second.
         """
         now = self.clock.now()
-        if self.announced_at is None or now - self.announced_at > OLDEST_COPY_MS:
+        if self.announced_at is None or now - self.announced_at > MAX_COPY_AGE_MS:
             return
 
         def announce() -> None:
--- a/packages/core/src/mountladder/forwarding/piecequeue.py
+++ b/packages/core/src/mountladder/forwarding/piecequeue.py
@@ -98,7 +98,7 @@
 
     def drop_barred(self, quarantine: Quarantine) -> None:
         """Settle the pieces under which servers have ended too often."""
-        if not quarantine.known:
+        if not quarantine.suspicions:
             return
         barred = {
             id(progress): (progress, fragment)
@@ -180,17 +180,17 @@
     several requests, which would each take one of their own. After a second one they go alone, so
     that it shows which of them is to blame, and only while nothing else of it is under way.
     """
-    if not quarantine.known:
+    if not quarantine.suspicions:
         return batch
     ready = [one for one in batch if not _waits(one, quarantine)]
     if not ready:
         return []
     first = ready[0][0].job.fingerprint
-    if quarantine.goes_alone(first):
+    if quarantine.needs_own_call(first):
         return [one for one in ready if one[0].job.fingerprint == first]
-    return [one for one in ready if not quarantine.goes_alone(one[0].job.fingerprint)]
+    return [one for one in ready if not quarantine.needs_own_call(one[0].job.fingerprint)]
 
 
 def _waits(waiting: Waiting, quarantine: Quarantine) -> bool:
     fingerprint = waiting[0].job.fingerprint
-    return quarantine.goes_alone(fingerprint) and quarantine.wait_ms(fingerprint) > 0
+    return quarantine.needs_own_call(fingerprint) and quarantine.wait_ms(fingerprint) > 0
--- a/packages/core/src/mountladder/forwarding/platformtables.py
+++ b/packages/core/src/mountladder/forwarding/platformtables.py
@@ -13,7 +13,7 @@
 from mountladder.forwarding.serverrecord import ServerRecord
 from mountladder.forwarding.source import Source
 from mountladder.forwarding.sourcerow import SourceRow
-from mountladder.quarantine.barstore import BarStore
+from mountladder.quarantine.suspicionstore import SuspicionStore
 from mountladder.store.instancelist import InstanceList
 
 
@@ -35,7 +35,7 @@
     catalogue: Source
     servers: Source
     instances: InstanceList
-    bars: BarStore
+    bars: SuspicionStore
     is_catalogue: Callable[[str], bool]
     decode_catalogue: Callable[[bytes], Catalogue]
     decode_server: Callable[[SourceRow], ServerRecord]
--- a/packages/core/src/mountladder/forwarding/storeintake.py
+++ b/packages/core/src/mountladder/forwarding/storeintake.py
@@ -16,7 +16,7 @@
 from mountladder.forwarding.platformtables import PlatformTables
 from mountladder.forwarding.serverrecord import ServerRecord
 from mountladder.forwarding.sourcepage import SourcePage
-from mountladder.store.eras import Eras
+from mountladder.store.eratracker import EraTracker
 
 STORE = "store"
 
@@ -37,7 +37,7 @@
         tables: PlatformTables,
         follower: CatalogueFollower,
         directory: Directory,
-        eras: Eras,
+        eras: EraTracker,
         clock: Clock,
     ) -> None:
         self.tables = tables
@@ -51,7 +51,7 @@
 
         The drains come first, so that nothing is sent by the catalogue before they are known.
         """
-        self.eras.see(page.position.era, STORE)
+        self.eras.observe(page.position.era, STORE)
         self.take_drains(page, whole)
         for row in page.rows:
             if row.value is not None and self.tables.is_catalogue(row.key):
@@ -72,7 +72,7 @@
 
     def take_servers(self, page: SourcePage, whole: bool) -> None:
         """Take in what the store says of backend servers."""
-        self.eras.see(page.position.era, STORE)
+        self.eras.observe(page.position.era, STORE)
         records = []
         for row in page.rows:
             try:
--- a/packages/core/src/mountladder/membership/wirereader.py
+++ b/packages/core/src/mountladder/membership/wirereader.py
@@ -39,7 +39,7 @@
 from mountladder.notices.ratelimit import RateLimit
 from mountladder.notices.servernotice import ServerNotice
 from mountladder.notices.servernotices import ServerNotices
-from mountladder.quarantine.serverend import ServerEnd
+from mountladder.quarantine.servercrash import ServerCrash
 from mountladder.quarantine.suspicion import Suspicion
 from mountladder.quarantine.suspicions import Suspicions
 from mountladder.store.position import Position
@@ -188,7 +188,7 @@
 
 
 def _read_suspicion(one) -> Suspicion:
-    ends = tuple(ServerEnd(str(end.server), end.ranMs, end.at, end.alone) for end in one.ends)
+    ends = tuple(ServerCrash(str(end.server), end.ranMs, end.at, end.alone) for end in one.ends)
     return Suspicion(
         bytes(one.fingerprint).hex(),
         str(one.service),
--- a/packages/core/src/mountladder/membership/wirewriter.py
+++ b/packages/core/src/mountladder/membership/wirewriter.py
@@ -244,8 +244,8 @@
         to.sentAt, to.clearedAt = one.sent_at, one.cleared_at
         to.bars, to.barredAt = min(one.bars, MOST_BARS), one.barred_at
         to.cleared = list(one.cleared)
-        ends = to.init("ends", len(one.ends))
-        for end, told in zip(one.ends, ends, strict=True):
+        ends = to.init("ends", len(one.crashes))
+        for end, told in zip(one.crashes, ends, strict=True):
             told.server, told.ranMs, told.at = end.server, end.ran_ms, end.at
             told.alone = end.alone
 
--- a/packages/core/src/mountladder/quarantine/fingerprint.py
+++ b/packages/core/src/mountladder/quarantine/fingerprint.py
@@ -13,7 +13,7 @@
 # probability of about 1e-16.
 DIGEST_BYTES = 16
 # Separator of the hashed texts; none of them can contain it.
-END = b"\0"
+SEPARATOR = b"\0"
 
 
 def fingerprint(secret: str, texts: Sequence[str], body: bytes) -> str:
@@ -32,19 +32,21 @@
     key = hashlib.blake2b(secret.encode()).digest()
     digest = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
     for text in texts:
-        digest.update(text.encode(errors="surrogateescape") + END)
+        digest.update(text.encode(errors="surrogateescape") + SEPARATOR)
     digest.update(body)
     return digest.hexdigest()
 
 
-def stage_fingerprint(whole: str, service: str) -> str:
+def stage_fingerprint(request_fingerprint: str, service: str) -> str:
     """Return the fingerprint of a request's pieces at a stage service.
 
     It differs from the request's own, so that pieces that run well do not clear a request which
     crashes the servers that run the request itself.
 
     Args:
-        whole: The fingerprint of the request.
+        request_fingerprint: The fingerprint of the request.
         service: The name of the stage service.
     """
-    return hashlib.blake2b(f"{whole}/{service}".encode(), digest_size=DIGEST_BYTES).hexdigest()
+    return hashlib.blake2b(
+        f"{request_fingerprint}/{service}".encode(), digest_size=DIGEST_BYTES
+    ).hexdigest()
--- a/packages/core/src/mountladder/quarantine/memorybarstore.py
+++ b/packages/core/src/mountladder/quarantine/memorysuspicionstore.py
@@ -1,4 +1,4 @@
-# memorybarstore.py -- An in-memory store of suspicions
+# memorysuspicionstore.py -- An in-memory store of suspicions
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -7,12 +7,12 @@
 from __future__ import annotations
 
 from mountladder.errors import StoreUnavailableError
-from mountladder.quarantine.barstore import BarStore
 from mountladder.quarantine.suspicion import Suspicion
+from mountladder.quarantine.suspicionstore import SuspicionStore
 
 
-class MemoryBarStore(BarStore):
-    """An in-memory BarStore, for tests.
+class MemorySuspicionStore(SuspicionStore):
+    """An in-memory SuspicionStore, for tests.
 
     Attributes:
         rows: The stored suspicions, by fingerprint.
@@ -26,17 +26,17 @@
         self.calls = 0
 
     def read(self) -> tuple[Suspicion, ...]:
-        """Return all stored suspicions; see BarStore."""
+        """Return all stored suspicions; see SuspicionStore."""
         self.check()
         return tuple(self.rows.values())
 
     def write(self, suspicion: Suspicion) -> None:
-        """Store a suspicion; see BarStore."""
+        """Store a suspicion; see SuspicionStore."""
         self.check()
         self.rows[suspicion.fingerprint] = suspicion
 
     def remove(self, fingerprint: str) -> None:
-        """Delete a suspicion; see BarStore."""
+        """Delete a suspicion; see SuspicionStore."""
         self.check()
         self.rows.pop(fingerprint, None)
 
--- a/packages/core/src/mountladder/quarantine/quarantineservice.py
+++ b/packages/core/src/mountladder/quarantine/quarantineservice.py
@@ -12,12 +12,12 @@
 from mountladder.configuration.backendserver import BackendServer
 from mountladder.membership.linkkeeper import LinkKeeper
 from mountladder.metrics.metrics import Metrics
-from mountladder.quarantine.case import Case
+from mountladder.quarantine.crashdetector import CrashDetector
 from mountladder.quarantine.fingerprint import fingerprint
 from mountladder.quarantine.quarantine import Quarantine
-from mountladder.quarantine.serverends import ServerEnds
 from mountladder.quarantine.serverlisting import ServerListing
 from mountladder.quarantine.suspicionexchange import SuspicionExchange
+from mountladder.quarantine.trackedattempt import TrackedAttempt
 
 
 class QuarantineService:
@@ -43,12 +43,12 @@
     ) -> None:
         self.secret = secret
         self.clock = clock
-        self.book = Quarantine(clock, metrics)
-        self.ends = ServerEnds(refuses, listing, clock)
-        self.ends.on_ended = self.book.interrupted
-        self.exchange = SuspicionExchange(keeper, self.book, clock)
+        self.registry = Quarantine(clock, metrics)
+        self.detector = CrashDetector(refuses, listing, clock)
+        self.detector.on_crashed = self.registry.handle_crash
+        self.exchange = SuspicionExchange(keeper, self.registry, clock)
 
-    def case(self, request: str, texts: Sequence[str], body: bytes) -> Case:
+    def track(self, request: str, texts: Sequence[str], body: bytes) -> TrackedAttempt:
         """Return an attempt at a request that is tracked by the quarantine.
 
         Args:
@@ -56,5 +56,5 @@
             texts: The sending team and what the request asks for, without the body.
             body: The body of the request.
         """
-        mark = fingerprint(self.secret(), texts, body)
-        return Case(mark, request, self.book, self.ends, self.clock)
+        digest = fingerprint(self.secret(), texts, body)
+        return TrackedAttempt(digest, request, self.registry, self.detector, self.clock)
--- a/packages/core/src/mountladder/quarantine/serverend.py
+++ b/packages/core/src/mountladder/quarantine/servercrash.py
@@ -1,4 +1,4 @@
-# serverend.py -- The crash of a server that had a request in flight
+# servercrash.py -- The crash of a server that had a request in flight
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEnd:
+class ServerCrash:
     """The crash of a server that had a request in flight.
 
     Attributes:
--- a/packages/core/src/mountladder/quarantine/serverlisting.py
+++ b/packages/core/src/mountladder/quarantine/serverlisting.py
@@ -15,7 +15,7 @@
     """The list of servers that an instance follows, as far as it shows crashes and shutdowns."""
 
     @abstractmethod
-    def is_planned(self, server: BackendServer) -> bool:
+    def is_shutting_down(self, server: BackendServer) -> bool:
         """Return whether a server was shutting down, so that broken connections were expected."""
 
     @abstractmethod
@@ -23,7 +23,7 @@
         """Return whether the list no longer has an entry of this incarnation of a server."""
 
     @abstractmethod
-    def start_name(self, server: BackendServer, ended_at: float) -> str:
+    def incarnation_name(self, server: BackendServer, crashed_at: float) -> str:
         """Return a name for the crashed incarnation of a server that no other one shares."""
 
     @abstractmethod
--- a/packages/core/src/mountladder/quarantine/suspicion.py
+++ b/packages/core/src/mountladder/quarantine/suspicion.py
@@ -8,38 +8,38 @@
 
 from dataclasses import dataclass, replace
 
-from mountladder.quarantine.serverend import ServerEnd
+from mountladder.quarantine.servercrash import ServerCrash
 
 NEVER = float("-inf")
 # Servers that crash this close together have one cause, such as a rack or a switch. Under a request
 # that is responsible they crash at times that depend on their queues, in the observed cases 60 to
 # 480 ms after it was sent.
-TOGETHER_MS = 50.0
+COMMON_CAUSE_MS = 50.0
 # Other copies of a suspect wait while one is in flight: for twice the longest time that it ran
 # before a crash, plus the time until a server begins it. The limit is a second, after which callers
 # try elsewhere.
-OUTLIVED = 2.0
-BEGIN_MS = 100.0
-MOST_WAIT_MS = 1_000.0
+WAIT_FACTOR = 2.0
+DISPATCH_MS = 100.0
+MAX_WAIT_MS = 1_000.0
 # A suspicion with this many independent crashes is persisted.
-LASTING_ENDS = 2
+PERSIST_CRASHES = 2
 # Max. number of crashes kept for a request; with more it has long been barred.
-ENDS_KEPT = 8
+MAX_CRASHES = 8
 # Max. number of cleared crashes that are remembered; well above the number of crashes kept.
-CLEARED_KEPT = 16
+MAX_CLEARED = 16
 MINUTE_MS = 60_000.0
 HOUR_MS = 60.0 * MINUTE_MS
 # How long a request is barred, the first time and each further time. Requests to a model that was
 # repaired run again; one that was not repaired loses three servers to trials in seven hours.
-BARS_MS = (10.0 * MINUTE_MS, HOUR_MS, 6.0 * HOUR_MS, 24.0 * HOUR_MS)
+BAR_DURATIONS_MS = (10.0 * MINUTE_MS, HOUR_MS, 6.0 * HOUR_MS, 24.0 * HOUR_MS)
 # Suspects expire after this time without a further crash; a first bar lasts as long.
-SUSPECT_MS = 600_000.0
+SUSPECT_TTL_MS = 600_000.0
 # How long a clearing is remembered, so that late reports of older crashes do not count again.
-CLEARED_MS = 60_000.0
+CLEARED_TTL_MS = 60_000.0
 # Bars are remembered this long after they expire, so that the next one lasts longer.
-REMEMBER_MS = 24 * 3_600_000.0
+BAR_MEMORY_MS = 24 * 3_600_000.0
 # Sends closer together than this are announced as one.
-SAME_SENDING_MS = 20.0
+SAME_SEND_MS = 20.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     Attributes:
         fingerprint: The hash that all attempts at the same request share.
         service: The service of the server that crashed last.
-        ends: The crashes of servers that had it in flight since it was cleared, the latest last.
+        crashes: The crashes of servers that had it in flight since it was cleared, the latest last.
         sent_at: When it was last sent to a server although it was suspect.
         cleared_at: When it was last answered completely, or cleared by an operator.
         bars: The number of times it was barred since then.
@@ -62,7 +62,7 @@
 
     fingerprint: str
     service: str = ""
-    ends: tuple[ServerEnd, ...] = ()
+    crashes: tuple[ServerCrash, ...] = ()
     sent_at: float = NEVER
     cleared_at: float = NEVER
     bars: int = 0
@@ -72,63 +72,63 @@
     @property
     def is_suspect(self) -> bool:
         """Return whether any server crashed under it since it was cleared."""
-        return bool(self.ends)
+        return bool(self.crashes)
 
     @property
-    def outlasts(self) -> bool:
+    def is_persisted(self) -> bool:
         """Return whether it is persisted, to survive a loss of all instances.
 
         A single crash may be chance and would keep an unaffected request suspect. Each further
         independent crash that is forgotten costs another server.
         """
-        return bool(self.bars) or len(self.separate_ends()) >= LASTING_ENDS
+        return bool(self.bars) or len(self.independent_crashes()) >= PERSIST_CRASHES
 
     @property
     def changed_at(self) -> float:
         """Return when it last changed: the latest crash, clearing or bar."""
-        ended_at = self.ends[-1].at if self.ends else NEVER
-        return max(ended_at, self.cleared_at, self.barred_at)
+        crashed_at = self.crashes[-1].at if self.crashes else NEVER
+        return max(crashed_at, self.cleared_at, self.barred_at)
 
     @property
     def barred_until(self) -> float:
         """Return until when it is barred; NEVER if it is not."""
-        if not self.ends or not self.bars:
+        if not self.crashes or not self.bars:
             return NEVER
-        return self.barred_at + BARS_MS[min(self.bars, len(BARS_MS)) - 1]
+        return self.barred_at + BAR_DURATIONS_MS[min(self.bars, len(BAR_DURATIONS_MS)) - 1]
 
     @property
-    def kept_until(self) -> float:
+    def expires_at(self) -> float:
         """Return when it may be dropped."""
         if self.bars:
-            return self.barred_until + REMEMBER_MS
-        return self.changed_at + (SUSPECT_MS if self.is_suspect else CLEARED_MS)
+            return self.barred_until + BAR_MEMORY_MS
+        return self.changed_at + (SUSPECT_TTL_MS if self.is_suspect else CLEARED_TTL_MS)
 
-    def under_way_since(self) -> float:
+    def in_flight_since(self) -> float:
         """Return since when a copy of a suspect is in flight; NEVER if none is."""
-        if not self.ends or self.sent_at < self.ends[-1].at:
+        if not self.crashes or self.sent_at < self.crashes[-1].at:
             return NEVER
         return self.sent_at
 
-    def awaited_until(self) -> float:
+    def wait_until(self) -> float:
         """Return until when other copies wait for one in flight; NEVER if none is."""
-        if self.under_way_since() == NEVER:
+        if self.in_flight_since() == NEVER:
             return NEVER
-        longest_ms = max(one.ran_ms for one in self.ends)
-        return self.under_way_since() + min(MOST_WAIT_MS, OUTLIVED * longest_ms + BEGIN_MS)
+        longest_ms = max(one.ran_ms for one in self.crashes)
+        return self.in_flight_since() + min(MAX_WAIT_MS, WAIT_FACTOR * longest_ms + DISPATCH_MS)
 
-    def separate_ends(self) -> tuple[ServerEnd, ...]:
+    def independent_crashes(self) -> tuple[ServerCrash, ...]:
         """Return the crashes without those that share a cause with the one before."""
-        separate: list[ServerEnd] = []
-        for one in self.ends:
-            if not separate or one.at - separate[-1].at > TOGETHER_MS:
-                separate.append(one)
-        return tuple(separate)
+        independent: list[ServerCrash] = []
+        for one in self.crashes:
+            if not independent or one.at - independent[-1].at > COMMON_CAUSE_MS:
+                independent.append(one)
+        return tuple(independent)
 
     def lacks(self, other: Suspicion) -> bool:
-        """Return whether another suspicion of the same request has news that this one lacks."""
-        return self.lacks_fate(other) or other.sent_at > self.sent_at + SAME_SENDING_MS
+        """Return whether another one of the same request has an update that this one lacks."""
+        return self.lacks_outcome(other) or other.sent_at > self.sent_at + SAME_SEND_MS
 
-    def lacks_fate(self, other: Suspicion) -> bool:
+    def lacks_outcome(self, other: Suspicion) -> bool:
         """Return whether another one has a crash, bar or clearing that this one lacks.
 
         Each link adds its delay to the ages in messages, so the same event arrives with different
@@ -136,45 +136,45 @@
         on, and a cleared crash is recognised by its server whatever its age. Otherwise both would
         be announced again and again.
         """
-        known = {one.server for one in self.ends} | set(self.cleared)
-        news = [one for one in other.ends if one.server not in known]
-        ended = any(one.at > self.cleared_at for one in news)
-        uncleared = any(one.server not in self.cleared for one in other.ends)
+        known = {one.server for one in self.crashes} | set(self.cleared)
+        unknown = [one for one in other.crashes if one.server not in known]
+        crashed = any(one.at > self.cleared_at for one in unknown)
+        uncleared = any(one.server not in self.cleared for one in other.crashes)
         barred = uncleared and other.bars > self.bars and other.barred_at > self.cleared_at
-        return ended or barred or self.is_cleared_by(other)
+        return crashed or barred or self.is_cleared_by(other)
 
     def is_cleared_by(self, other: Suspicion) -> bool:
         """Return whether another one records a clearing of crashes that this one still holds."""
-        if not self.ends:
+        if not self.crashes:
             return False
-        named = any(one.server in other.cleared for one in self.ends)
-        return named or other.cleared_at >= self.ends[-1].at
+        named = any(one.server in other.cleared for one in self.crashes)
+        return named or other.cleared_at >= self.crashes[-1].at
 
     def merged(self, other: Suspicion) -> Suspicion:
         """Return the union of both, without cleared crashes."""
         cleared_at = max(self.cleared_at, other.cleared_at)
-        both = (*other.ends, *self.ends)
+        both = (*other.crashes, *self.crashes)
         cleared = {one.server for one in both if one.at <= cleared_at}
         cleared = cleared.union(self.cleared, other.cleared)
         found = {one.server: one for one in both if one.server not in cleared}
-        ends = tuple(sorted(found.values(), key=lambda one: one.at)[-ENDS_KEPT:])
+        crashes = tuple(sorted(found.values(), key=lambda one: one.at)[-MAX_CRASHES:])
         barred = [one for one in (self, other) if one.barred_at > cleared_at]
         return replace(
             self,
             service=other.service or self.service,
-            ends=ends,
+            crashes=crashes,
             sent_at=max(self.sent_at, other.sent_at),
             cleared_at=cleared_at,
             bars=max((one.bars for one in barred), default=0),
             barred_at=max((one.barred_at for one in barred), default=NEVER),
-            cleared=tuple(sorted(cleared)[-CLEARED_KEPT:]),
+            cleared=tuple(sorted(cleared)[-MAX_CLEARED:]),
         )
 
     def shifted(self, by_ms: float) -> Suspicion:
         """Return a copy with all times shifted, such as to times relative to now for a peer."""
         return replace(
             self,
-            ends=tuple(replace(one, at=one.at + by_ms) for one in self.ends),
+            crashes=tuple(replace(one, at=one.at + by_ms) for one in self.crashes),
             sent_at=self.sent_at + by_ms,
             cleared_at=self.cleared_at + by_ms,
             barred_at=self.barred_at + by_ms,
--- a/packages/core/src/mountladder/quarantine/suspicionexchange.py
+++ b/packages/core/src/mountladder/quarantine/suspicionexchange.py
@@ -28,11 +28,11 @@
     def __init__(self, keeper: LinkKeeper, quarantine: Quarantine, clock: Clock) -> None:
         super().__init__(keeper, clock, Suspicions)
         self.quarantine = quarantine
-        quarantine.on_news = self.tell
+        quarantine.on_update = self.tell
 
     def known(self) -> Iterable[Suspicion]:
         """Return all suspicions; see NewsExchange."""
-        return self.quarantine.known.values()
+        return self.quarantine.suspicions.values()
 
     def as_ages(self, entry: Suspicion, now: float) -> Suspicion:
         """Return a suspicion with times relative to now, as it is sent; see NewsExchange."""
@@ -40,4 +40,4 @@
 
     def take_in(self, entries: Sequence[Suspicion], now: float, source: str) -> None:
         """Merge received suspicions into the quarantine; see NewsExchange."""
-        self.quarantine.take([one.shifted(now) for one in entries], source)
+        self.quarantine.merge([suspicion.shifted(now) for suspicion in entries], source)
--- a/packages/core/src/mountladder/quarantine/barstore.py
+++ b/packages/core/src/mountladder/quarantine/suspicionstore.py
@@ -1,4 +1,4 @@
-# barstore.py -- Interface of the store of barred requests and strong suspects
+# suspicionstore.py -- Interface of the store of barred requests and strong suspects
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -11,7 +11,7 @@
 from mountladder.quarantine.suspicion import Suspicion
 
 
-class BarStore(ABC):
+class SuspicionStore(ABC):
     """A table of suspicions on the platform, with times in milliseconds since the Unix epoch.
 
     Every call raises StoreUnavailableError or StoreAmbiguousError if the platform does not answer.
--- a/packages/core/src/mountladder/quarantine/case.py
+++ b/packages/core/src/mountladder/quarantine/trackedattempt.py
@@ -1,4 +1,4 @@
-# case.py -- An attempt at a request that is tracked by the quarantine
+# trackedattempt.py -- An attempt at a request that is tracked by the quarantine
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -12,20 +12,20 @@
 from mountladder.code import Code
 from mountladder.configuration.backendserver import BackendServer
 from mountladder.errors import StageError
+from mountladder.quarantine.crashdetector import CrashDetector
 from mountladder.quarantine.fingerprint import stage_fingerprint
 from mountladder.quarantine.interruption import Interruption
 from mountladder.quarantine.quarantine import Quarantine
-from mountladder.quarantine.serverends import ServerEnds
 
 
-class Case:
+class TrackedAttempt:
     """One attempt at a request, or at a stage of it, that is tracked by the quarantine.
 
     Args:
         fingerprint: The hash that all attempts at the same request share.
         request: The id of this attempt.
         quarantine: The quarantine of this instance.
-        ends: Finds out whether a server has crashed when a connection to it breaks.
+        detector: Finds out whether a server has crashed when a connection to it breaks.
         clock: The clock.
     """
 
@@ -34,19 +34,19 @@
         fingerprint: str,
         request: str,
         quarantine: Quarantine,
-        ends: ServerEnds,
+        detector: CrashDetector,
         clock: Clock,
     ) -> None:
         self.fingerprint = fingerprint
         self.request = request
         self.quarantine = quarantine
-        self.ends = ends
+        self.detector = detector
         self.clock = clock
 
-    def of_stage(self, name: str) -> Case:
+    def of_stage(self, name: str) -> TrackedAttempt:
         """Return the same attempt at one stage, or at the pieces of one stage service."""
-        mark = stage_fingerprint(self.fingerprint, name)
-        return Case(mark, self.request, self.quarantine, self.ends, self.clock)
+        digest = stage_fingerprint(self.fingerprint, name)
+        return TrackedAttempt(digest, self.request, self.quarantine, self.detector, self.clock)
 
     def check(self, stages: Iterable[str]) -> None:
         """Refuse the request if it, or its pieces at one of its stages, is barred.
@@ -57,7 +57,7 @@
         Raises:
             RefusalError: The request is barred.
         """
-        if not self.quarantine.known:
+        if not self.quarantine.suspicions:
             return
         self.quarantine.check(self.fingerprint, self.request)
         for name in stages:
@@ -79,16 +79,16 @@
             started: When the request was sent there, in the clock's milliseconds.
             error: How the attempt failed.
         """
-        if broke(error):
+        if connection_broke(error):
             now = self.clock.now()
             lost = Interruption(self.fingerprint, self.request, now - started, now)
-            self.ends.broke(server, (lost,))
+            self.detector.investigate(server, (lost,))
 
     def answered(self) -> None:
         """Record that the request was answered completely."""
-        self.quarantine.answer(self.fingerprint)
+        self.quarantine.record_answer(self.fingerprint)
 
 
-def broke(error: StageError) -> bool:
+def connection_broke(error: StageError) -> bool:
     """Return whether a connection broke after the request may have reached the server."""
     return error.code is Code.STREAM_CUT and error.dispatched
--- a/packages/core/src/mountladder/requests/attempts.py
+++ b/packages/core/src/mountladder/requests/attempts.py
@@ -57,7 +57,7 @@
         self.unrepeatable: set[str] = set()
         self.timings: list[StageTiming] = []
         texts = (request.team.name, request.pipeline.name)
-        self.case = context.quarantine.case(request.id, texts, request.input)
+        self.case = context.quarantine.track(request.id, texts, request.input)
 
     @contextmanager
     def watched(self, attempt: Attempt, tries: Tries) -> Iterator[None]:
--- a/packages/core/src/mountladder/requests/configuredlisting.py
+++ b/packages/core/src/mountladder/requests/configuredlisting.py
@@ -16,7 +16,7 @@
     The configuration tells nothing of starts, so that an end is named by its time.
     """
 
-    def is_planned(self, server: BackendServer) -> bool:
+    def is_shutting_down(self, server: BackendServer) -> bool:
         """Tell whether operators are draining a server; see ServerListing."""
         return server.draining
 
@@ -24,9 +24,9 @@
         """Return False, since the configuration does not tell; see ServerListing."""
         return False
 
-    def start_name(self, server: BackendServer, ended_at: float) -> str:
+    def incarnation_name(self, server: BackendServer, crashed_at: float) -> str:
         """Return the server's name and when it ended; see ServerListing."""
-        return f"{server.name}@{ended_at:.0f}"
+        return f"{server.name}@{crashed_at:.0f}"
 
     def service(self, server: BackendServer) -> str:
         """Return whether the server is an engine or a service; see ServerListing."""
--- a/packages/core/src/mountladder/requests/gateway.py
+++ b/packages/core/src/mountladder/requests/gateway.py
@@ -99,8 +99,8 @@
             raise
         if decision.replay is not None:
             return Reply(request, kept=decision.replay)
-        if decision.home is not None:
-            return Reply(request, home=decision.home)
+        if decision.issued_key is not None:
+            return Reply(request, home=decision.issued_key)
         return self.run_reply(request, decision.run)
 
     def read(self, called: CallerRequest) -> Request:
--- a/packages/core/src/mountladder/runtime.py
+++ b/packages/core/src/mountladder/runtime.py
@@ -18,7 +18,7 @@
 from mountladder.accounts.ledger import Ledger
 from mountladder.claims.groupcommit import GroupCommit
 from mountladder.claims.idempotency import Idempotency
-from mountladder.claims.keybook import KeyBook
+from mountladder.claims.keyregistry import KeyRegistry
 from mountladder.claims.submitter import Submitter
 from mountladder.clocks.clock import Clock
 from mountladder.configuration.changelog import ChangeLog
@@ -116,7 +116,7 @@
             settings.name,
             self.me.incarnation,
             settings.secret.encode(),
-            KeyBook(clock, settings.keep_ms),
+            KeyRegistry(clock, settings.keep_ms),
             Submitter(self.commits, self.peers, clock),
             table,
             clock,
--- a/packages/core/src/mountladder/store/eras.py
+++ b/packages/core/src/mountladder/store/eratracker.py
@@ -1,4 +1,4 @@
-# eras.py -- Detects that the platform's store was restored from an older copy
+# eratracker.py -- Detects that the platform's store was restored from an older copy
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -12,10 +12,10 @@
 
 # Max. age of a copy that the store is restored from: three times the history that it keeps. Copies
 # are normally some seconds old.
-OLDEST_COPY_MS = 60_000.0
+MAX_COPY_AGE_MS = 60_000.0
 
 
-class Eras:
+class EraTracker:
     """Tracks the newest era of the platform's store that an instance has seen from any source.
 
     Attributes:
@@ -28,7 +28,7 @@
         self.newest: int | None = None
         self.listeners: list[Callable[[], None]] = []
 
-    def see(self, era: int, source: str) -> None:
+    def observe(self, era: int, source: str) -> None:
         """Record an era and call the listeners if it is newer than one seen before.
 
         Args:
@@ -37,9 +37,9 @@
         """
         if self.newest is not None and era <= self.newest:
             return
-        before, self.newest = self.newest, era
-        if before is None:
+        previous, self.newest = self.newest, era
+        if previous is None:
             return
-        log_message("store-restored-older-copy", era=era, previous_era=before, source=source)
+        log_message("store-restored-older-copy", era=era, previous_era=previous, source=source)
         for listener in self.listeners:
             listener()
--- a/packages/core/src/mountladder/store/lease.py
+++ b/packages/core/src/mountladder/store/lease.py
@@ -23,7 +23,7 @@
 
 LEASE_MS = 9_000.0
 # Fraction of a lease after which a holder that has not renewed it stops.
-SAFE_SHARE = 0.5
+SAFE_FRACTION = 0.5
 LEASE_PREFIX = "lease/"
 
 
@@ -77,7 +77,7 @@
         if not self.held():
             raise LeaseLostError(self.key)
 
-    def step(self) -> bool:
+    def renew_or_acquire(self) -> bool:
         """Renew the lease or try to take it; return whether it is held.
 
         Must be called several times per lease.
@@ -85,9 +85,9 @@
         try:
             row = self.table.read(self.key)
             self.watch(row)
-            if row is not None and self.is_mine(row):
+            if row is not None and self.is_own(row):
                 self.write(self.fence_of(row), row.version)
-            elif row is None or self.is_over():
+            elif row is None or self.is_expired():
                 self.write(self.fence_of(row) + 1, row.version if row else ABSENT)
             else:
                 self.holding = False
@@ -104,17 +104,17 @@
             self.seen_version = version
             self.seen_at = self.clock.now()
 
-    def is_over(self) -> bool:
+    def is_expired(self) -> bool:
         """Return whether the row has been unchanged for a whole lease."""
         return self.clock.now() - self.seen_at >= self.lease_ms
 
-    def is_mine(self, row: Row) -> bool:
+    def is_own(self, row: Row) -> bool:
         """Return whether a row names this incarnation as the holder."""
-        return _table(row).get("holder") == self.incarnation
+        return _fields(row).get("holder") == self.incarnation
 
     def fence_of(self, row: Row | None) -> int:
         """Return the fencing number in a row, 0 for no row."""
-        return 0 if row is None else int(_table(row)["fence"])
+        return 0 if row is None else int(_fields(row)["fence"])
 
     def write(self, fence: int, version: int) -> None:
         """Write the row; the lease is counted from before the write was sent."""
@@ -124,21 +124,21 @@
         self.seen_at = sent_at
         self.fence = fence
         self.holding = True
-        self.safe_until = sent_at + SAFE_SHARE * self.lease_ms
+        self.safe_until = sent_at + SAFE_FRACTION * self.lease_ms
 
     def release(self) -> None:
         """Release the lease at once, if the store can be reached."""
         self.holding = False
         try:
             row = self.table.read(self.key)
-            if row is not None and self.is_mine(row):
+            if row is not None and self.is_own(row):
                 value = json.dumps({"holder": "", "fence": self.fence_of(row)}).encode()
                 self.table.commit([Write(self.key, value, row.version)])
         except (ConditionFailedError, StoreUnavailableError, StoreAmbiguousError):
             return
 
 
-def _table(row: Row) -> dict[str, object]:
+def _fields(row: Row) -> dict[str, object]:
     try:
         table = json.loads(row.value)
         return {"holder": str(table["holder"]), "fence": int(table["fence"])}
--- a/packages/entry/src/mountladder_entry/callers.py
+++ b/packages/entry/src/mountladder_entry/callers.py
@@ -162,7 +162,7 @@
         raise RunError("", Code.KEY_HOME_GONE)
     relayed = node.relay.ask(reply.home, reply.request, bottle.request)
     if relayed is None:
-        decision = node.gateway.idempotency.answer_of(reply.request)
+        decision = node.gateway.idempotency.stored_answer(reply.request)
         bottle.response.content_type = "application/json"
         return decision.replay
     bottle.response.status = relayed.status
--- a/packages/entry/src/mountladder_entry/quarantinepages.py
+++ b/packages/entry/src/mountladder_entry/quarantinepages.py
@@ -46,7 +46,7 @@
 def listed(quarantine: Quarantine) -> dict[str, object]:
     """Return every request under which servers ended, the latest first."""
     now = quarantine.clock.now()
-    suspects = [one for one in quarantine.known.values() if one.is_suspect]
+    suspects = [one for one in quarantine.suspicions.values() if one.is_suspect]
     suspects.sort(key=lambda one: one.changed_at, reverse=True)
     return {"suspects": [_row(one, now) for one in suspects]}
 
@@ -66,9 +66,9 @@
     return {
         "fingerprint": suspicion.fingerprint,
         "service": suspicion.service,
-        "servers": [one.server for one in suspicion.ends],
-        "ran_ms": [round(one.ran_ms) for one in suspicion.ends],
-        "ended_ms_ago": [round(now - one.at) for one in suspicion.ends],
+        "servers": [one.server for one in suspicion.crashes],
+        "ran_ms": [round(one.ran_ms) for one in suspicion.crashes],
+        "ended_ms_ago": [round(now - one.at) for one in suspicion.crashes],
         "bars": suspicion.bars,
         "barred_for_ms": round(max(0.0, suspicion.barred_until - now)),
     }
--- a/packages/standins/src/mountladder_standins/forwardfleet.py
+++ b/packages/standins/src/mountladder_standins/forwardfleet.py
@@ -22,7 +22,7 @@
 from mountladder.membership.instance import Instance
 from mountladder.membership.memorynetwork import MemoryNetwork
 from mountladder.metrics.memorymetrics import MemoryMetrics
-from mountladder.quarantine.memorybarstore import MemoryBarStore
+from mountladder.quarantine.memorysuspicionstore import MemorySuspicionStore
 from mountladder.quarantine.suspicion import Suspicion
 from mountladder.store.memoryinstancelist import MemoryInstanceList
 from mountladder_standins.localupstream import LocalUpstream
@@ -56,7 +56,7 @@
         self.catalogue = MemorySource(clock)
         self.servers = MemorySource(clock)
         self.listed = MemoryInstanceList(clock, forget_ms=float("inf"))
-        self.bars = MemoryBarStore()
+        self.bars = MemorySuspicionStore()
         self.catalogues: dict[int, Catalogue] = {}
         self.instances: dict[str, ForwardingInstance] = {}
         self.cores: dict[str, float] = {}
--- a/packages/standins/src/mountladder_standins/localfleet.py
+++ b/packages/standins/src/mountladder_standins/localfleet.py
@@ -190,7 +190,7 @@
                 runtime.me, home.me
             ):
                 return self.read(home, called, [])
-        return json.loads(runtime.idempotency.answer_of(reply.request).replay)
+        return json.loads(runtime.idempotency.stored_answer(reply.request).replay)
 
     def ran(self, work: str) -> list[str]:
         """Return the attempts of a kind of work that were begun on all stand-ins."""
