--- a/packages/core/src/mountladder/forwarding/__init__.py
+++ b/packages/core/src/mountladder/forwarding/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Requests forwarded whole to the services of a catalogue
+# __init__.py -- Forwarding of whole requests to services, after their stages have run
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Requests forwarded whole to the services of a catalogue, with their stages made before."""
+"""Forwards whole requests to the services of a catalogue, after running their stages."""
--- a/packages/core/src/mountladder/forwarding/callerlimits.py
+++ b/packages/core/src/mountladder/forwarding/callerlimits.py
@@ -1,8 +1,8 @@
-# callerlimits.py -- What callers may send
+# callerlimits.py -- Limits on the size and duration of callers' requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What callers may send, and how long they may take."""
+"""Limits on the size and duration of callers' requests."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take.
+    """Limits on the size and duration of callers' requests.
 
     Attributes:
-        header_bytes: The longest head of a request.
-        body_bytes: The longest body.
-        header_ms: How long the head may take to come in.
-        idle_ms: How long a connection may stay idle.
+        header_bytes: Maximum size of a request head, in bytes.
+        body_bytes: Maximum size of a request body, in bytes.
+        header_ms: How long receiving the head may take, in milliseconds.
+        idle_ms: How long a connection may stay idle, in milliseconds.
     """
 
     header_bytes: int = 16_384
--- a/packages/core/src/mountladder/forwarding/coldservers.py
+++ b/packages/core/src/mountladder/forwarding/coldservers.py
@@ -1,8 +1,8 @@
-# coldservers.py -- Limits what is sent to backend servers that have just started
+# coldservers.py -- Rate limits for backend servers that have just started
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Limits what is sent to backend servers that have just started."""
+"""Rate limits for backend servers that have just started."""
 
 from __future__ import annotations
 
@@ -20,27 +20,29 @@
 from mountladder.forwarding.serverrecord import ID_LABEL, SERVICE_LABEL
 
 SECOND_MS = 1_000.0
-# What stands for no limit.
+# Returned where no limit applies.
 MANY = 2**31
 
 
 class ColdServers:
-    """Limits the requests that servers get in their first seconds, over all instances together.
+    """Limits the requests that all instances together send to servers in their first seconds.
 
-    A server that gets well more than its service's rate while it is cold ends, with all that it has
-    under way. So only the instance where the work of a service meets sends to cold servers, or has
-    them sent to; at most the rate in any second. What is tolerated is half as much again and some,
-    so that two instances that both believe to be that one do no harm. All others leave cold servers
-    alone, those among them that only believe to be it since they reach nobody (`Leadership`).
+    A cold server that receives well over its service's rate crashes, and the requests it is running
+    are lost. So only the service's coordinator sends requests to cold servers, or decides who does,
+    and never more than the rate within any second. Servers tolerate somewhat more than 1.5 times
+    the rate, so two instances that each take themselves for the coordinator do no harm. All other
+    instances send nothing to cold servers. That includes an instance that takes itself for the
+    coordinator only because it reaches no other (`Leadership`).
 
     Args:
-        directory: Which servers there are.
-        follower: The catalogue in force, which has the rates.
-        leadership: Tells whether the work of a service surely meets here.
+        directory: The list of backend servers.
+        follower: Holds the catalogue in force, which has the rates.
+        leadership: Decides whether this instance is certain to coordinate a service.
         clock: The clock.
 
     Attributes:
-        sendings: When each cold server was last sent requests, within a second, by its name.
+        sendings: Times of the requests sent to each cold server within the last second, by server
+            name.
     """
 
     def __init__(
@@ -57,14 +59,14 @@
         self.sendings: dict[str, deque[float]] = {}
 
     def is_cold(self, server: BackendServer) -> bool:
-        """Tell whether a server is cold, as it said, or may be, since its data centre is back."""
+        """Return whether a server reported to be cold, or may be after its data centre's return."""
         return bool(self.cold((server,)))
 
     def cold(self, servers: Iterable[BackendServer]) -> frozenset[str]:
         """Return the names of the servers that are cold, or may be.
 
-        Every placement asks for all model servers, so that the clock is read once, and not at all
-        while none was cold lately: reading it takes a system call.
+        Every placement calls this with all model servers. Reading the clock takes a system call,
+        so it is read once, and not at all while no server was cold recently.
         """
         if not self.directory.cold_until and not self.directory.drains.returned_at:
             return frozenset()
@@ -72,9 +74,9 @@
         return frozenset(one.name for one in servers if self.is_cold_at(one, now))
 
     def is_cold_at(self, server: BackendServer, now: float) -> bool:
-        """Tell whether a server is cold at a time.
+        """Return whether a server is cold at a given time.
 
-        Servers of a drained data centre may have become cold without a word before its return.
+        Servers of a drained data centre may have restarted without a report before its return.
         """
         if self.directory.cold_until.get(server.labels[ID_LABEL], -math.inf) > now:
             return True
@@ -90,11 +92,11 @@
         return tuple(one for one in servers if one.name not in cold) if cold else servers
 
     def allowance(self, server: BackendServer, topic: str) -> int:
-        """Return how many requests a server may be sent now from here.
+        """Return how many requests this instance may send to a server now.
 
         Args:
             server: The server.
-            topic: Under which topic the work that it is to get meets.
+            topic: The topic whose coordinator distributes the work.
         """
         rate = self.rate(server) if self.is_cold(server) else 0.0
         if not rate:
@@ -104,12 +106,12 @@
     def spent(
         self, servers: Iterable[BackendServer], cold: frozenset[str], topic: str
     ) -> frozenset[str]:
-        """Return the names of the cold servers that may be sent nothing more now from here.
+        """Return the names of the cold servers to which this instance may send nothing more now.
 
         Args:
             servers: The servers.
             cold: The names of those among them that are cold.
-            topic: Under which topic the work that they are to get meets.
+            topic: The topic whose coordinator distributes the work.
         """
         limited = [one for one in servers if one.name in cold and self.rate(one)] if cold else []
         if limited and self.leadership.leads(topic):
@@ -117,16 +119,16 @@
         return frozenset(one.name for one in limited)
 
     def rate(self, server: BackendServer) -> float:
-        """Return how many requests a second a server tolerates while it is cold, or 0 for any."""
+        """Return how many requests per second a cold server tolerates, or 0 for no limit."""
         service = self.follower.service(server.labels[SERVICE_LABEL])
         return service.cold_per_s if service is not None else 0.0
 
     def left(self, server: BackendServer, rate: float) -> int:
-        """Return how many more requests a cold server may get in this second."""
+        """Return how many more requests may be sent to a cold server within this second."""
         return max(0, max(1, math.floor(rate)) - len(self.lately(server)))
 
     def lately(self, server: BackendServer) -> deque[float]:
-        """Return when a cold server was sent requests from here, of the last second."""
+        """Return the times of the requests sent to a cold server within the last second."""
         sendings = self.sendings.setdefault(server.name, deque())
         oldest = self.clock.now() - SECOND_MS
         while sendings and sendings[0] <= oldest:
@@ -134,7 +136,7 @@
         return sendings
 
     def sent(self, server: BackendServer, requests: int = 1) -> None:
-        """Record that a server is sent requests, where it is cold."""
+        """Record requests that are sent to a server, if it is cold."""
         if not self.is_cold(server):
             self.sendings.pop(server.name, None)
             return
@@ -149,6 +151,6 @@
         )
 
     def cold_for_ms(self, server: BackendServer) -> int:
-        """Return for how much longer a server said that it is cold, in milliseconds."""
+        """Return how much longer a server is cold by its own report, in milliseconds."""
         now = self.clock.now()
         return round(self.directory.cold_until.get(server.labels[ID_LABEL], now) - now)
--- a/packages/core/src/mountladder/forwarding/connectionshare.py
+++ b/packages/core/src/mountladder/forwarding/connectionshare.py
@@ -1,8 +1,8 @@
-# connectionshare.py -- How many connections an instance keeps open to a server
+# connectionshare.py -- Share of a server's connections that one instance may keep open
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How many connections an instance keeps open to a server."""
+"""Share of a server's connections that one instance may keep open."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ConnectionShare:
-    """This instance's part of the connections that each server accepts from all.
+    """Computes this instance's share of the idle connections that a server accepts.
 
     Args:
-        follower: The catalogue in force, which tells what servers accept.
-        membership: Who shares it.
+        follower: Holds the catalogue in force, which has each service's connection limit.
+        membership: The instances that share a server's connections.
     """
 
     def __init__(self, follower: CatalogueFollower, membership: Membership) -> None:
@@ -25,9 +25,9 @@
         self.membership = membership
 
     def of(self, server: BackendServer) -> int | None:
-        """Return how many may wait for another call; None where the service does not say.
+        """Return how many idle connections may be kept open, or None where no limit is set.
 
-        Half of what a server accepts stays free for calls, which may come from any instance.
+        Half of the connections that a server accepts stay free for calls from any instance.
         """
         service = self.follower.service(server.labels[SERVICE_LABEL])
         if service is None or not service.most_connections:
--- a/packages/core/src/mountladder/forwarding/departure.py
+++ b/packages/core/src/mountladder/forwarding/departure.py
@@ -1,8 +1,8 @@
-# departure.py -- The end of an instance
+# departure.py -- Graceful shutdown of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The end of an instance."""
+"""Graceful shutdown of an instance."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from mountladder.forwarding.route import Route
 from mountladder.forwarding.routekind import RouteKind
 
-# The balancer takes an instance out after two questions, a second apart. What comes on connections
-# that stay open later than this is refused where it might not end before the process does.
+# The load balancer removes an instance after two failed health checks, one second apart. Later
+# requests on connections that are still open are refused if they might outlive the process.
 ACCEPT_MS = 2_500.0
-# The process ends this much before it would be killed, so that what is left is cut in order.
+# The process exits this long before it would be killed, to close remaining connections cleanly.
 MARGIN_MS = 400.0
-# Another instance can be asked at once.
+# Callers may retry at another instance almost at once.
 RETRY_MS = 50.0
 
 
 class Departure:
-    """Whether an instance is about to end, and what it still takes.
+    """Tracks whether an instance is shutting down and which requests it still accepts.
 
     Args:
         clock: The clock.
-        grace_ms: Returns how long ending may take, in milliseconds.
+        grace_ms: Returns how long the shutdown may take, in milliseconds.
 
     Attributes:
-        asked_at: When the process was asked to end, or None.
+        asked_at: When the shutdown was requested, or None.
     """
 
     def __init__(self, clock: Clock, grace_ms: Callable[[], float]) -> None:
@@ -40,25 +40,25 @@
         self.asked_at: float | None = None
 
     def begin(self) -> None:
-        """Record that the process was asked to end."""
+        """Record the request to shut down."""
         if self.asked_at is None:
             self.asked_at = self.clock.now()
 
     def waited_ms(self) -> float:
-        """Return how long ago the process was asked to end; 0 if it was not."""
+        """Return how long ago the shutdown was requested, in milliseconds, or 0 if it was not."""
         return 0.0 if self.asked_at is None else self.clock.now() - self.asked_at
 
     def left_ms(self) -> float:
-        """Return how long the process has yet; infinite if it was not asked to end."""
+        """Return the time until the process must exit, in milliseconds; infinite if running."""
         if self.asked_at is None:
             return float("inf")
         return self.grace_ms() - MARGIN_MS - self.waited_ms()
 
     def check(self, route: Route) -> None:
-        """Let a request in that is sure to end before the process.
+        """Check that a request on a route is certain to finish before the process exits.
 
         Raises:
-            RefusalError: It might not.
+            RefusalError: The instance is shutting down and the request might not finish in time.
         """
         if self.waited_ms() <= ACCEPT_MS:
             return
--- a/packages/core/src/mountladder/forwarding/eventsplitter.py
+++ b/packages/core/src/mountladder/forwarding/eventsplitter.py
@@ -1,8 +1,8 @@
-# eventsplitter.py -- Whole events out of the bytes of a stream
+# eventsplitter.py -- Splits the bytes of an event stream into complete events
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whole events out of the bytes of a stream."""
+"""Splits the bytes of an event stream into complete events."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class EventSplitter:
-    """Cuts the bytes of an event stream behind its last whole event.
+    """Splits the bytes of an event stream behind its last complete event.
 
     Attributes:
-        last_id: The id of the last whole event, or an empty string.
-        rest: The bytes of the event that is not whole yet.
-        events: How many whole events there were.
+        last_id: The id of the last complete event, or an empty string.
+        rest: The bytes of the event that is still incomplete.
+        events: The number of complete events so far.
     """
 
     def __init__(self, last_id: str = "") -> None:
@@ -25,16 +25,16 @@
         self.events = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take in bytes and return the events that are whole now.
+        """Add bytes and return the events that they complete.
 
         Raises:
-            ValueError: An event is longer than any event may be.
+            ValueError: An event is longer than the maximum size.
         """
         data = self.rest + data
         end = data.rfind(_END)
         if end < 0:
             if len(data) > MOST_EVENT_BYTES:
-                raise ValueError("an event is too long")
+                raise ValueError(f"an event is longer than {MOST_EVENT_BYTES} bytes")
             self.rest = data
             return b""
         whole, self.rest = data[: end + len(_END)], data[end + len(_END) :]
@@ -42,7 +42,7 @@
         return whole
 
     def read_ids(self, whole: bytes) -> None:
-        """Remember the id of the last event."""
+        """Count complete events and store the last event id."""
         self.events += whole.count(_END)
         for line in reversed(whole.split(b"\n")):
             if line.startswith(b"id:"):
--- a/packages/core/src/mountladder/forwarding/finishtime.py
+++ b/packages/core/src/mountladder/forwarding/finishtime.py
@@ -1,18 +1,19 @@
-# finishtime.py -- What a model server takes to its first event
+# finishtime.py -- Estimated time of a model server to its first event
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a model server takes to its first event."""
+"""Estimated time of a model server to its first event."""
 
 from __future__ import annotations
 
 from mountladder.forwarding.prompt import Prompt
 from mountladder.routing.readingspeed import FIRST_TOKENS_PER_MS
 
-# Fetching results and waiting for the step under way.
+# For fetching stage results and waiting for the batch step that is running.
 LEAST_MS = 100.0
-# Most of a prompt is cached, but others are read beside it. A first guess only, of which each route
-# learns the ratio to what is seen (StageForecast.factors).
+# Most of a prompt is cached, but the server processes other prompts at the same time. Only an
+# initial estimate: each route learns the ratio of measured to estimated times
+# (StageForecast.factors).
 READ_PART = 0.6
 
 
--- a/packages/core/src/mountladder/forwarding/forwardanswer.py
+++ b/packages/core/src/mountladder/forwarding/forwardanswer.py
@@ -1,8 +1,8 @@
-# forwardanswer.py -- What a forwarded request is answered with
+# forwardanswer.py -- The answer to a forwarded request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a forwarded request is answered with."""
+"""The answer to a forwarded request."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardAnswer:
-    """What a forwarded request is answered with.
+    """The answer to a forwarded request.
 
     Attributes:
         status: The HTTP status of the backend server.
-        headers: Its headers, without those that concern one connection only.
-        body: The whole body, or an iterator over parts of a stream. The iterator raises where the
-            stream breaks, so that a cut answer is never taken for a whole one.
+        headers: Its headers, without hop-by-hop headers.
+        body: The complete body, or an iterator over the chunks of a stream. The iterator raises if
+            the stream breaks, so that a truncated answer is never taken for a complete one.
     """
 
     status: int
--- a/packages/core/src/mountladder/forwarding/forwardattempt.py
+++ b/packages/core/src/mountladder/forwarding/forwardattempt.py
@@ -1,8 +1,8 @@
-# forwardattempt.py -- One sending of a request to a backend server
+# forwardattempt.py -- One attempt to send a request to a backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One sending of a request to a backend server."""
+"""One attempt to send a request to a backend server."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardAttempt:
-    """One sending of a request to a backend server.
+    """One attempt to send a request to a backend server.
 
     Attributes:
-        picked: The server, and why it was chosen.
-        started: When it was sent.
-        number: Which sending of the request it is, from 1.
+        picked: The server and the reason for the choice.
+        started: When the request was sent, in the clock's milliseconds.
+        number: The number of the attempt, from 1.
     """
 
     picked: Picked
@@ -28,10 +28,10 @@
 
     @property
     def choice(self) -> Choice:
-        """Return the server, and why it was chosen."""
+        """Return the routing decision."""
         return self.picked.choice
 
     @property
     def server(self) -> str:
-        """Return the id of the server."""
+        """Return the name of the server."""
         return self.choice.state.server.name
--- a/packages/core/src/mountladder/forwarding/forwardcall.py
+++ b/packages/core/src/mountladder/forwarding/forwardcall.py
@@ -1,8 +1,8 @@
-# forwardcall.py -- A request on its way to one backend server
+# forwardcall.py -- A request as it is sent to one backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request on its way to one backend server."""
+"""A request as it is sent to one backend server."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardCall:
-    """A request on its way to one backend server.
+    """A request as it is sent to one backend server.
 
     Attributes:
         request: The caller's request.
         team: The team that sent it, or an empty string.
-        deadline: When it must be done, in the clock's milliseconds.
-        inputs: The handles of the results that it needs.
-        after_event: The last event that the caller has already, or an empty string.
-        reusable: Whether a connection that was idle may carry it.
-        source: The address of the server to fetch kept parts of the prompt from, or empty.
-        heard: Called with the server, what its answer says of it, and when the request was sent.
-        connected: Called once the server can be reached, as the request is about to be written.
+        deadline: When the answer must be complete, in the clock's milliseconds.
+        inputs: Handles of the stage results that the request needs.
+        after_event: The id of the last event that the caller has, or an empty string.
+        reusable: Whether it may be sent on an idle connection that was kept open.
+        source: The address of the server to fetch cached prompt parts from, or an empty string.
+        heard: Called with the server, the notices in its answer and the time of the request.
+        connected: Called when the connection is open, before the request is written.
     """
 
     request: ForwardRequest
--- a/packages/core/src/mountladder/forwarding/forwardcontext.py
+++ b/packages/core/src/mountladder/forwarding/forwardcontext.py
@@ -1,8 +1,8 @@
-# forwardcontext.py -- What forwarded requests on one instance share
+# forwardcontext.py -- State shared by the forwarded requests of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What forwarded requests on one instance share."""
+"""State shared by the forwarded requests of an instance."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardContext:
-    """What forwarded requests on one instance share.
+    """State shared by the forwarded requests of an instance.
 
     Attributes:
         clock: The clock.
-        rng: The source of chance.
-        follower: The catalogue in force.
+        rng: The random number generator.
+        follower: Holds the catalogue in force.
         picker: Chooses servers.
-        upstream: Calls servers.
-        dispatch: Where stages are handed to.
+        upstream: Sends calls to servers.
+        dispatch: Runs stages.
         forecast: Refuses requests whose stages cannot be done in time.
         budget: Returns the retry budget of a service.
-        metrics: Where metrics go.
-        departure: Whether the instance is about to end.
-        fetch_time: When servers have fetched the results of stages.
-        quarantine: Knows under which requests servers end.
-        notices: Takes in what answers say of their servers.
+        metrics: Receives metrics.
+        departure: Tracks the shutdown of the instance.
+        fetch_time: Estimates when servers have fetched stage results.
+        quarantine: Tracks requests during which servers crash.
+        notices: Applies the notices that servers send with their answers.
     """
 
     clock: Clock
--- a/packages/core/src/mountladder/forwarding/forwarder.py
+++ b/packages/core/src/mountladder/forwarding/forwarder.py
@@ -1,8 +1,8 @@
-# forwarder.py -- The way of a forwarded request into an instance
+# forwarder.py -- Admission of forwarded requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The way of a forwarded request into an instance."""
+"""Admission of forwarded requests."""
 
 from __future__ import annotations
 
@@ -22,27 +22,28 @@
 from mountladder.forwarding.wholerun import WholeRun
 from mountladder.metrics.metric import Metric
 
-# While the catalogue was not confirmed for this long, what it does not know may be newer than it.
+# A catalogue that was not confirmed for this long may be outdated, so an unknown route or key is
+# reported as "not ready" instead.
 STALE_MS = 6_000.0
-# When a caller may come back to an instance that does not know enough yet.
+# When a caller may retry at an instance that has no current catalogue.
 NOT_READY_RETRY_MS = 500.0
 
 
 class Forwarder:
-    """Finds the route and the team of a request, and has it run.
+    """Finds the route and the team of each request and runs it.
 
     Args:
-        context: What requests share.
+        context: State shared by requests.
     """
 
     def __init__(self, context: ForwardContext) -> None:
         self.context = context
 
     def serve(self, request: ForwardRequest) -> ForwardAnswer:
-        """Return what a request is answered with.
+        """Run a request and return its answer.
 
         Raises:
-            MountladderError: It was refused or failed.
+            MountladderError: The request was refused or failed.
         """
         self.context.metrics.count(Metric.REQUESTS)
         try:
@@ -56,7 +57,8 @@
         """Check a request against the catalogue in force.
 
         Raises:
-            RefusalError: It has no route or no known key, or no catalogue is known.
+            RefusalError: The route or key is unknown, no catalogue is loaded, the instance is
+                shutting down, the request is quarantined, or a service has no server for it.
         """
         catalogue = self.context.follower.catalogue
         if catalogue is None:
@@ -93,22 +95,22 @@
     def holder(
         self, request: ForwardRequest, route: Route, catalogue: Catalogue
     ) -> KeyHolder | None:
-        """Return who holds the key of a request; None where the route needs none."""
+        """Return the team of a request's API key, or None without one on a public route."""
         holder = catalogue.keys.get(request.key)
         if holder is None and catalogue.guarded and not route.public:
             raise self.unknown(Code.UNAUTHENTICATED)
         return holder
 
     def unknown(self, code: Code) -> RefusalError:
-        """Return the refusal of what the catalogue does not know, which a newer one may."""
+        """Return the refusal of an unknown route or key, which a newer catalogue may contain."""
         follower = self.context.follower
         if follower.age_ms() > STALE_MS and not follower.is_fed():
-            detail = "the catalogue was not confirmed lately"
+            detail = "the catalogue has not been confirmed recently"
             return RefusalError(detail, Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         return RefusalError("", code)
 
     def refused(self, request: ForwardRequest, error: MountladderError) -> None:
-        """Count and log a request that was refused before it had a run."""
+        """Count and log a request that was refused at admission."""
         self.context.metrics.count(Metric.REFUSED, error.code.name.lower())
         follower = self.context.follower
         log_message(
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -54,14 +54,16 @@
 from mountladder.serverlimits.serverlimits import ServerLimits
 from mountladder.supervision import keep_running
 
-# Three missed heartbeats are silence, after which stages are handed to another instance: with
-# 250 ms that is about the time of three stages.
+# After three missed heartbeats a peer counts as unreachable, and stages move to another instance.
+# With 250 ms that takes about as long as three stages.
 HEARTBEAT_MS = 250.0
-# How often an instance judges whether data centres are cut off, a small part of the silence that it
-# takes; the others only look whether what they were told is old.
+# How often an instance that decides which data centres are unreachable checks them: a small
+# fraction of the silence after which one counts as unreachable. Other instances only check whether
+# the reports they received are outdated.
 WATCH_MS = 100.0
 WATCH_IDLE_MS = 600.0
-# What a call to another data centre is taken to add: half a millisecond each way, and its price.
+# Assumed extra cost of a call to another data centre: 0.5 ms latency each way, the rest a penalty
+# for its price.
 SPILL_MS = 3.0
 
 
@@ -71,11 +73,11 @@
     Args:
         settings: The settings.
         clock: The clock.
-        tables: The platform's tables.
-        upstream: Calls backend servers.
-        network: Reaches the other instances.
-        metrics: Where metrics go.
-        seed: The seed of its random numbers, or None for a different one each time.
+        tables: Access to the platform's tables.
+        upstream: Sends calls to backend servers.
+        network: Connects to the other instances.
+        metrics: Receives metrics.
+        seed: The seed of the random number generator, or None for a random one.
     """
 
     def __init__(
@@ -115,7 +117,7 @@
         self.build(upstream)
 
     def build(self, upstream: Upstream) -> None:
-        """Put the parts of the request path together."""
+        """Create and connect the components of the request path."""
         clock, metrics = self.clock, self.metrics
         self.router = Router(
             clock,
@@ -155,7 +157,7 @@
         self.follower.is_fed = self.is_fed
 
     def build_quarantine(self, upstream: Upstream) -> None:
-        """Put the parts together that know under which requests servers end."""
+        """Create and connect the components that track which requests crash servers."""
         self.quarantine = QuarantineService(
             upstream.refuses,
             DirectoryListing(self.directory),
@@ -171,13 +173,13 @@
         self.fleet.eras.listeners.append(self.bar_keeper.write_again)
 
     def take_out(self, name: str) -> None:
-        """Use a server no more that has ended, whoever noticed."""
+        """Stop using a server that has crashed, whichever instance noticed it."""
         server = self.directory.find(name)
         if server is not None:
             self.router.ended(server)
 
     def make_context(self, picker: ServerPicker) -> ForwardContext:
-        """Return what forwarded requests share."""
+        """Return the state that forwarded requests share."""
         return ForwardContext(
             clock=self.clock,
             rng=self.rng,
@@ -197,7 +199,7 @@
     def make_follower(
         self, name: str, source: Source, take: Callable[[SourcePage, bool], None]
     ) -> SourceFollower:
-        """Return a follower of a table, which follows it while that is this instance's to do."""
+        """Return a follower of a table; it reads while this instance is to follow the store."""
         readers = self.fleet.readers
         follower = SourceFollower(
             name,
@@ -231,32 +233,35 @@
         )
 
     def pump(self) -> None:
-        """Let every batcher look at the servers there are now."""
+        """Have every batcher send what the current servers can take."""
         for batcher in self.dispatch.batchers.values():
             batcher.pump()
 
     def is_fed(self) -> bool:
-        """Tell whether news of the catalogue would come, from the store and from some peer."""
+        """Return whether catalogue updates would reach this instance.
+
+        That needs a live peer, unless none is known, and an answering store, here or at a peer.
+        """
         known = self.membership.addressed()
         heard = not known or any(self.fleet.is_alive(one) for one in known)
         return heard and (self.is_answered() or self.fleet.readers.has_fed_peer())
 
     def is_answered(self) -> bool:
-        """Tell whether this instance follows the store and is answered."""
+        """Return whether this instance follows the store and the store answers."""
         return self.catalogue_source.fed and self.directory_source.fed
 
     @property
     def leaving(self) -> bool:
-        """Tell whether the instance is about to end."""
+        """Return whether the instance is shutting down."""
         return self.departure.asked_at is not None
 
     @property
     def ready(self) -> bool:
-        """Tell whether the instance can take requests."""
+        """Return whether the instance can accept requests."""
         return not self.leaving and self.follower.catalogue is not None and self.directory.ready
 
     def start(self) -> None:
-        """Start the tasks, which the stack ends."""
+        """Start the background tasks; closing the stack stops them."""
         self.network.listen(self.me, self.fleet.serve, self.stack)
         loops: tuple[Callable[[], None], ...] = (
             self.catalogue_source.run,
@@ -273,25 +278,25 @@
         self.stack.callback(self.upstream.close)
 
     def keep_telling(self) -> None:
-        """Tell those near that this instance follows the store for them, while it does."""
+        """Announce periodically, while it is so, that this instance follows the store."""
         while True:
             self.clock.sleep(PULSE_MS)
             if self.fleet.readers.reading:
                 self.fleet.pulse()
 
     def keep_watching(self) -> None:
-        """Look which data centres can be reached, often where this instance judges that."""
+        """Poll which data centres are reachable, more often where this instance decides it."""
         while True:
             judges = bool(self.fleet.contacts.other_places())
             self.clock.sleep(WATCH_MS if judges else WATCH_IDLE_MS)
             self.fleet.watch_datacentres()
 
     def leave(self) -> None:
-        """Tell the balancer and the peers that this instance is about to end."""
+        """Begin the shutdown and announce it to the load balancer and the peers."""
         self.departure.begin()
         self.fleet.leaving = self.fleet.ranking.leaving = True
         self.fleet.tell_all()
 
     def close(self) -> None:
-        """End every task."""
+        """Stop every task and close all connections."""
         self.stack.close()
--- a/packages/core/src/mountladder/forwarding/forwardrequest.py
+++ b/packages/core/src/mountladder/forwarding/forwardrequest.py
@@ -1,8 +1,8 @@
-# forwardrequest.py -- A caller's request that is forwarded whole
+# forwardrequest.py -- A caller's request that is forwarded as a whole
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A caller's request that is forwarded whole."""
+"""A caller's request that is forwarded as a whole."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """One attempt of a caller, as it was received.
+    """A request as it was received from a caller.
 
     Attributes:
-        id: The caller's id of this attempt.
+        id: The id that the caller gave the request.
         method: The HTTP method.
-        host: The host it names.
-        target: The path with the query, unchanged.
-        path: The path alone.
-        headers: The headers that are passed on.
-        body: The body, whole.
+        host: The host from its Host header.
+        target: The path with the query string, unchanged.
+        path: The path without the query string.
+        headers: The headers to forward.
+        body: The complete body.
         key: The API key, or an empty string.
         arrived: When it was received, in the clock's milliseconds.
-        allowed_ms: How long the caller waits from then on.
-        prompt: Its prompt where it is for a model.
-        pieces: How many pieces each stage has.
-        piece_key: What the first stages work on.
-        after_event: The last event that the caller has of a stream to go on with, or "".
+        allowed_ms: How long the caller waits after that, in milliseconds.
+        prompt: Its prompt, or None if it has none.
+        pieces: The number of pieces of each stage.
+        piece_key: Identifies the input of the first stages.
+        after_event: The id of the last event that the caller received of a stream to resume, or "".
     """
 
     id: str
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -1,8 +1,8 @@
-# forwardrun.py -- One forwarded request on its way
+# forwardrun.py -- Execution of one forwarded request: stages, attempts, retries and outcome
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One forwarded request on its way."""
+"""Executes one forwarded request: runs its stages, sends it to servers and retries it."""
 
 from __future__ import annotations
 
@@ -25,30 +25,31 @@
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
 from mountladder.metrics.metric import Metric
 
-# How often the stages are run again after a result was lost, such as by a crash or a cut.
+# How often the stages are rerun after a result was lost, for example in a crash or a broken stream.
 MOST_FLOWS_LOST = 2
 
 
 class ForwardRun:
-    """Sends one request to servers until it is answered, has failed for good, or is out of time.
+    """Sends one request to servers until it is answered, fails permanently or times out.
 
     Args:
         request: The request.
         route: Its route.
         holder: The team that sent it, or None on a public route.
-        context: What requests share.
+        context: State shared by requests.
 
     Attributes:
-        deadline: When the caller or the route stops waiting.
-        urgency: The rank of the request, 0 first.
-        sendings: How often it was sent.
-        unreached: How often no connection to the server came about.
-        runs: On how many servers it may have run.
-        flows_lost: How often its stages were run again since a result was lost.
-        gives_way: Whether it cannot be on time and its stages give way to all that can.
-        cancel_release: Keeps results that are about to be given up.
-        case: The request as the quarantine sees it.
-        turn: Chooses servers, and waits for a turn at those that limit what they take.
+        deadline: When the caller's or the route's timeout expires, in the clock's milliseconds.
+        urgency: The priority of the request; 0 is the most urgent.
+        sendings: The number of attempts so far.
+        unreached: The number of attempts that could not connect to the server.
+        runs: The number of attempts in which a server may have executed it.
+        flows_lost: How often its stages were rerun because a result was lost.
+        gives_way: Whether it cannot meet its latency target, so that its stages run after those of
+            requests that can.
+        cancel_release: Cancels the scheduled release of stage results.
+        case: The quarantine's record of the request.
+        turn: Chooses servers and waits for a slot at those that limit their request rate.
     """
 
     def __init__(
@@ -88,15 +89,15 @@
         return self.holder.team if self.holder else ""
 
     def left(self) -> float:
-        """Return how much time is left, in milliseconds."""
+        """Return the time until the deadline, in milliseconds."""
         return self.deadline - self.context.clock.now()
 
     def elapsed(self) -> float:
-        """Return how long ago the request came in, in milliseconds."""
+        """Return the time since the request was received, in milliseconds."""
         return self.context.clock.now() - self.request.arrived
 
     def make_inputs(self) -> tuple[str, ...]:
-        """Run the stages and return the handles that the request needs."""
+        """Run the stages and return the handles of the results that the request needs."""
         if not self.route.stages:
             return ()
         is_first = self.flow is None and self.sendings == 0
@@ -120,34 +121,34 @@
         except RunError as error:
             if error.code is not Code.RESULT_GONE or not self.may_make_again():
                 raise
-            self.log("stages-again", reason=error.detail, elapsed_ms=round(self.elapsed()))
+            self.log("stages-rerun", reason=error.detail, elapsed_ms=round(self.elapsed()))
             return self.make_inputs()
         self.site = self.flow.site()
         self.log("stages-done", results=len(inputs))
         return inputs
 
     def admit(self) -> None:
-        """Let it in, and keep its turn at a server where that may be short; see StageForecast."""
+        """Admit the request; reserve a slot if all servers limit their rate. See StageForecast."""
         forecast = self.context.forecast
         expectation = forecast.admit(self.request, self.route, self.urgency, self.age_ms)
         self.expected_ms, self.gives_way = expectation.ms, expectation.gives_way
         self.turn.book(expectation.stages_ms + expectation.waiting_ms)
 
     def promised_ms(self) -> float:
-        """Return within which time from its arrival the answer is to begin, in milliseconds.
+        """Return the target time from arrival to the start of the answer, in milliseconds.
 
-        One that takes longer than the aim by itself keeps its place among the others by when it
-        can be done.
+        A request that takes longer than the latency target even without load is scheduled by its
+        expected time instead.
         """
         return 0.0 if self.gives_way else max(self.route.aim_ms, self.expected_ms)
 
     def may_make_again(self) -> bool:
-        """Tell whether the stages may be run once more after a result of theirs was lost."""
+        """Count a lost stage result and return whether the stages may be rerun."""
         self.flows_lost += 1
         return self.flows_lost <= MOST_FLOWS_LOST and self.left() > self.expected_ms
 
     def given_up(self, error: RefusalError) -> RefusalError:
-        """Return the refusal of a request whose stages were not begun in time."""
+        """Return the refusal of a request whose stages did not start in time."""
         forecast = self.context.forecast
         if not self.gives_way:
             forecast.learn(self.route, self.expected_ms, self.elapsed())
@@ -156,10 +157,10 @@
         return RefusalError(error.detail, error.code, retry_after_ms=back_ms)
 
     def begin(self) -> ForwardAttempt:
-        """Choose a server for the next sending.
+        """Choose a server for the next attempt.
 
         Raises:
-            MountladderError: No server can be used.
+            MountladderError: No server is available.
         """
         try:
             picked = self.turn.take()
@@ -187,7 +188,7 @@
         limit_ms: float,
         connected: Callable[[], None] = lambda: None,
     ) -> UpstreamAnswer:
-        """Send the request to the server of an attempt and return the head of the answer."""
+        """Send the request to an attempt's server and return the answer once its head is there."""
         call = ForwardCall(
             request=self.request,
             team=self.team,
@@ -202,10 +203,10 @@
         return self.context.upstream.open(attempt.choice.state.server, call, limit_ms)
 
     def failed(self, attempt: ForwardAttempt, error: StageError) -> None:
-        """Learn from a failed attempt; return where the request may be sent again.
+        """Record a failed attempt; return if the request may be retried.
 
         Raises:
-            MountladderError: It may not; this is what the caller is told.
+            MountladderError: It may not be retried; this is the error for the caller.
         """
         elapsed_ms = self.context.clock.now() - attempt.started
         self.context.picker.failed(
@@ -223,25 +224,25 @@
             reason=error.detail,
             may_have_run=error.dispatched,
             elapsed_ms=round(elapsed_ms),
-            outcome="gives up" if problem else "sends again",
+            outcome="not retried" if problem else "retried",
         )
         if problem is not None:
             raise problem from error
         self.context.metrics.count(Metric.RETRIED, error.code.name.lower())
 
     def has_begun(self) -> bool:
-        """Tell whether any of it may have run, its stages included."""
+        """Return whether the request or one of its stages may have been executed."""
         return self.runs > 0 or (self.flow is not None and self.flow.begun)
 
     def succeeded(self, attempt: ForwardAttempt, load: int | None, goes_on: bool) -> None:
-        """Learn from an attempt that was answered; a stream goes on after its first event."""
+        """Record an attempt that was answered; a stream continues after its first event."""
         elapsed_ms = self.context.clock.now() - attempt.started
         self.context.picker.succeeded(
             attempt.picked, self.request, self.service, elapsed_ms, load, goes_on
         )
 
     def finish(self, error: MountladderError | None = None, status: int = 0) -> None:
-        """Give up the results of stages, and record how the request ended."""
+        """Release the results of stages and record the outcome of the request."""
         if self.flow is not None:
             self.flow.release()
         self.turn.drop()
@@ -262,11 +263,11 @@
         )
 
     def log(self, event: str, **fields: object) -> None:
-        """Log a decision about the request."""
+        """Log an event of the request."""
         log_message(event, request=self.request.id, route=self.route.name, **fields)
 
     def answer(self) -> ForwardAnswer:
-        """Return what the caller is answered with.
+        """Return the answer for the caller.
 
         Raises:
             MountladderError: The request was refused or failed.
--- a/packages/core/src/mountladder/forwarding/keyholder.py
+++ b/packages/core/src/mountladder/forwarding/keyholder.py
@@ -1,8 +1,8 @@
-# keyholder.py -- The team that holds an API key
+# keyholder.py -- The team that an API key belongs to
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The team that holds an API key."""
+"""The team that an API key belongs to."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyHolder:
-    """The team that holds an API key.
+    """The team that an API key belongs to.
 
     Attributes:
         team: The team's name.
-        priority: Its rank, which goes before the route's; None where it has none.
+        priority: Its priority, which overrides the route's, or None to use the route's.
     """
 
     team: str
--- a/packages/core/src/mountladder/forwarding/linktime.py
+++ b/packages/core/src/mountladder/forwarding/linktime.py
@@ -1,8 +1,8 @@
-# linktime.py -- How long bytes take over a link
+# linktime.py -- Transfer time over a network link
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How long bytes take over a link."""
+"""Transfer time over a network link."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def link_ms(size: float, link_mbps: float) -> float:
-    """Return how long some bytes take over a link of some Mbit/s, in milliseconds."""
-    # A megabit a second is a kilobit a millisecond.
+    """Return how long a transfer of `size` bytes takes over a link, in milliseconds."""
+    # 1 Mbit/s is 1 kbit/ms.
     return size * BITS_PER_BYTE / BITS_PER_KILOBIT / link_mbps
--- a/packages/core/src/mountladder/forwarding/picked.py
+++ b/packages/core/src/mountladder/forwarding/picked.py
@@ -1,8 +1,8 @@
-# picked.py -- A server that was picked for a request
+# picked.py -- A backend server picked for a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A server that was picked for a request."""
+"""A backend server picked for a request."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Picked:
-    """A server that was picked for a request.
+    """A backend server picked for a request.
 
     Attributes:
-        choice: The server, and why it was chosen.
-        placement: What stands for the prompt where prompts are placed, or 0 without one.
-        source: The address of the server to fetch kept parts of the prompt from, or empty.
-        read: How many tokens the server is believed to read.
-        ready_at: When its turn comes at a server that limits what it takes.
+        choice: The routing decision.
+        placement: The number of the placement order, or 0 if the server was chosen without one.
+        source: The address of the server to fetch cached prompt parts from, or an empty string.
+        read: The number of prompt tokens that the server is expected to prefill.
+        ready_at: When a server that limits its request rate accepts the request.
     """
 
     choice: Choice
--- a/packages/core/src/mountladder/forwarding/placedprompt.py
+++ b/packages/core/src/mountladder/forwarding/placedprompt.py
@@ -1,8 +1,8 @@
-# placedprompt.py -- A prompt at a model server
+# placedprompt.py -- A prompt that was placed on a model server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A prompt at a model server."""
+"""A prompt that was placed on a model server."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedPrompt:
-    """A prompt at a model server, as the instance that placed it remembers it.
+    """A prompt that was placed on a model server, as recorded by its placement coordinator.
 
     Attributes:
         server: The name of the server.
-        read: How many of its tokens the server reads.
-        expected_ms: The expected time to the first event.
-        tokens: How many tokens the server was to read until then, or 0 where it fetched some.
+        read: The number of its tokens that the server has to prefill.
+        expected_ms: The expected time to the first event, in milliseconds.
+        tokens: The number of tokens queued for prefill up to this prompt's end, or 0 if cached
+            parts are fetched from another server.
     """
 
     server: str
--- a/packages/core/src/mountladder/forwarding/placementdesk.py
+++ b/packages/core/src/mountladder/forwarding/placementdesk.py
@@ -1,8 +1,8 @@
-# placementdesk.py -- Placing the prompts of all instances
+# placementdesk.py -- Placement of prompts on model servers for all instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Placing the prompts of all instances."""
+"""Places prompts on model servers for all instances."""
 
 from __future__ import annotations
 
@@ -27,26 +27,28 @@
 from mountladder.routing.router import Router
 from mountladder.serverlimits.serverlimits import ServerLimits
 
-# Stands for this instance among those that have prompts placed.
+# The owner id of this instance's own prompts; peers are identified by their link.
 HERE = 0
 
 
 class PlacementDesk:
-    """Places the prompts of a service for all instances that leave that to this one.
+    """Places the prompts of a service for all instances that have this one as coordinator.
 
-    It knows what every server reads and holds, which no instance knows by itself.
+    It knows which prompts every server is processing and which prompt parts it has cached. Other
+    instances only know their own requests.
 
     Args:
-        directory: Which servers there are.
-        router: What is known of each server.
+        directory: The list of backend servers.
+        router: Holds the state of each server.
         clock: The clock.
-        follower: The catalogue in force.
-        cold: Limits what servers get that have just started.
-        limits: Keeps to what servers say that they take.
+        follower: Holds the catalogue in force.
+        cold: Limits the requests to servers that have just started.
+        limits: Enforces the rate limits that servers announce.
 
     Attributes:
-        placed: The prompts that are at servers, by who placed them and the order's number.
-        turned_away: Whom servers that limit what they take left no turn, by their service.
+        placed: The prompts on servers, by owner and order number.
+        unread: Keys of the placed prompts whose prefill has not finished.
+        turned_away: Assigns retry times to rejected requests, by service.
     """
 
     def __init__(
@@ -70,11 +72,11 @@
         self.turned_away: dict[str, TurnedAway] = {}
 
     def place(self, order: PlacementOrder, owner: Hashable) -> PlacementReply:
-        """Return where a prompt is to go, and remember that it is sent there.
+        """Choose a server for a prompt and record the prompt as sent to it.
 
         Args:
-            order: The prompt.
-            owner: Stands for the instance that sends it.
+            order: The prompt and the constraints on its server.
+            owner: Identifies the instance that sends the prompt.
         """
         servers = self.directory.available(order.service)
         topic = prompts_topic(order.service)
@@ -107,7 +109,7 @@
         restraints: Restraints,
         topic: str,
     ) -> PromptChoice | None:
-        """Choose a server for a prompt, or none."""
+        """Return the server chosen for a prompt, or None if none accepts it."""
         if restraints.limit_all(servers) and self.gives_way(order):
             return None
         wish = order.wish.without(self.cold.spent(servers, restraints.cold, topic))
@@ -116,7 +118,7 @@
         return self.placement.choose(servers, order.prompt, wish, transfer, restraints)
 
     def gives_way(self, order: PlacementOrder) -> bool:
-        """Tell whether a request leaves what servers take to more urgent ones."""
+        """Return whether a request must leave limited capacity to more urgent ones."""
         turned_away = self.turned_away.get(order.service)
         return turned_away is not None and turned_away.gives_way(order.urgency, self.clock.now())
 
@@ -126,7 +128,7 @@
         servers: Sequence[BackendServer],
         restraints: Restraints,
     ) -> PlacementReply:
-        """Return that no server takes a request, and when it is to come back, if that is known."""
+        """Return a reply without a server, with the time to retry after if that is known."""
         if not servers or not restraints.limit_all(servers):
             return PlacementReply(order.number, "", 0.0)
         topic = prompts_topic(order.service)
@@ -137,7 +139,7 @@
         return PlacementReply(order.number, "", 0.0, wait_ms=back_ms)
 
     def note(self, note: PlacementNote, owner: Hashable) -> None:
-        """Take in what became of a prompt."""
+        """Apply a report on the progress of a placed prompt."""
         key = (owner, note.number)
         placed = self.placed.get(key)
         if placed is None:
@@ -151,20 +153,22 @@
             self.placement.ended(placed.server)
 
     def take_out(self, server: str) -> None:
-        """Send no more prompts to a server that an instance could not reach, but for a trial.
+        """Trip the circuit breaker of a server that an instance could not reach.
 
-        It has nothing to read, so that without this it is chosen first, by one instance after the
-        other until each has learnt of it by a failed request of its own.
+        An unreachable server has no prompts to process, so it would be chosen first, and one
+        instance after the other would have a request fail there.
         """
         state = self.router.states.get(server)
         now = self.clock.now()
-        # Those that were on their way when it went tell nothing new.
+        # Failures of requests that were already sent when the breaker tripped are no new evidence.
         if state is not None and (state.breaker.allows(now) or state.breaker.trying):
             state.breaker.trip(now)
-            log_message("server-out", server=server, reason="an instance could not reach it")
+            log_message(
+                "server-unreachable", server=server, reason="an instance could not connect to it"
+            )
 
     def take_read(self, key: tuple[Hashable, int], placed: PlacedPrompt, read_ms: float) -> None:
-        """Take in that a server has read a prompt, and how long that took."""
+        """Record that a server has prefilled a prompt, and how long that took."""
         if key not in self.unread:
             return
         self.unread.discard(key)
@@ -181,6 +185,6 @@
             state.breaker.abandon()
 
     def drop(self, owner: Hashable) -> None:
-        """Forget the prompts of an instance that cannot be reached any more."""
+        """Remove the prompts of an instance that is no longer reachable."""
         for key in [key for key in self.placed if key[0] == owner]:
             self.note(PlacementNote(key[1], 0.0, True), owner)
--- a/packages/core/src/mountladder/forwarding/placementnote.py
+++ b/packages/core/src/mountladder/forwarding/placementnote.py
@@ -1,8 +1,8 @@
-# placementnote.py -- What became of a prompt that was placed
+# placementnote.py -- Report on the progress of a placed prompt
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What became of a prompt that was placed."""
+"""Progress report on a placed prompt, sent to the instance that placed it."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementNote:
-    """What became of a prompt that was placed.
+    """Progress report on a placed prompt.
 
     Attributes:
-        number: The number of its order.
-        read_ms: How long its server took to the first event, or 0 where it has not come.
-        ended: Whether the server is done with it.
-        gone: Whether the server could not be reached, or another one was there in its place.
+        number: The number of the placement order.
+        read_ms: The time from sending to the first event, in milliseconds, or 0 without one yet.
+        ended: Whether the server has finished the request.
+        gone: Whether the server was unreachable, refused the call or was replaced by another one.
     """
 
     number: int
--- a/packages/core/src/mountladder/forwarding/placementorder.py
+++ b/packages/core/src/mountladder/forwarding/placementorder.py
@@ -1,8 +1,8 @@
-# placementorder.py -- Asking where a prompt is to go
+# placementorder.py -- Request to a placement coordinator for a server for a prompt
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Asking where a prompt is to go."""
+"""Request to a placement coordinator for a server for a prompt."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementOrder:
-    """Asking the instance where a service's prompts meet for a server.
+    """Request to a service's placement coordinator for a server for a prompt.
 
     Attributes:
-        number: Its number, by which the reply is matched.
-        service: The service.
+        number: Identifies the order; the reply carries the same number.
+        service: The name of the service.
         prompt: The prompt.
-        excluded: Names of servers that the asking instance does not want.
-        site: The data centre where large inputs lie, or an empty string.
-        patience_ms: How long it may wait before it is sent, where servers limit what they take.
-        urgency: Its rank, 0 first.
+        excluded: Names of servers that the requesting instance excludes.
+        site: The data centre that holds large inputs, or an empty string.
+        patience_ms: How long the request may wait if servers limit their rate, in milliseconds.
+        urgency: The request's priority; 0 is the most urgent.
     """
 
     number: int
@@ -36,5 +36,5 @@
 
     @property
     def wish(self) -> ServerWish:
-        """Return what it wants of its server."""
+        """Return the constraints on the server."""
         return ServerWish(frozenset(self.excluded), self.site, self.patience_ms, self.urgency)
--- a/packages/core/src/mountladder/forwarding/placementreply.py
+++ b/packages/core/src/mountladder/forwarding/placementreply.py
@@ -1,8 +1,8 @@
-# placementreply.py -- Where a prompt is to go
+# placementreply.py -- Reply to a placement order
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Where a prompt is to go."""
+"""Reply to a placement order."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementReply:
-    """Where a prompt is to go.
+    """Reply to a placement order: the server for a prompt, or when to retry.
 
     Attributes:
         number: The number of the order.
-        server: The name of the server, or an empty string where there is none.
-        expected_ms: The expected time to the first event there.
-        source: The address of the server that it fetches kept parts of the prompt from, or empty.
-        read: How many tokens it is believed to read.
-        wait_ms: How long it has to wait for its turn at a server that limits what it takes; without
-            a server, when it is to come back, or 0 where that is not known.
+        server: The name of the server, or an empty string if none was found.
+        expected_ms: The expected time to the first event, in milliseconds.
+        source: The address of the server to fetch cached prompt parts from, or an empty string.
+        read: The number of prompt tokens that the server is expected to prefill.
+        wait_ms: How long the request has to wait, in milliseconds, for a server that limits its
+            request rate; without a server, the time to retry after, or 0 if unknown.
     """
 
     number: int
--- a/packages/core/src/mountladder/forwarding/prompt.py
+++ b/packages/core/src/mountladder/forwarding/prompt.py
@@ -16,9 +16,9 @@
     """The prompt of a request to a model.
 
     Attributes:
-        tokens: How many tokens it has.
-        most_output: How many tokens are generated at most.
-        parts: Its parts in order; the last one belongs to the request or its session alone.
+        tokens: The length of the prompt, in tokens.
+        most_output: The maximum number of tokens to generate.
+        parts: Its parts in order; only the last one is specific to the request or its session.
     """
 
     tokens: int
--- a/packages/core/src/mountladder/forwarding/promptpart.py
+++ b/packages/core/src/mountladder/forwarding/promptpart.py
@@ -1,8 +1,8 @@
-# promptpart.py -- A part of a prompt
+# promptpart.py -- A part of a prompt that servers can cache
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A part of a prompt."""
+"""A part of a prompt that servers can cache."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt; requests share parts, and servers cache them.
+    """A part of a prompt; different requests can share parts, and servers cache them.
 
     Attributes:
-        id: Names the part.
-        tokens: How long it is.
+        id: Identifies the part.
+        tokens: Its length, in tokens.
     """
 
     id: str
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -1,8 +1,8 @@
-# promptplacer.py -- Having prompts placed where those of all instances meet
+# promptplacer.py -- Placement of prompts through the service's coordinator
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Having prompts placed where those of all instances meet."""
+"""Places prompts through the coordinator of their service."""
 
 from __future__ import annotations
 
@@ -23,18 +23,23 @@
 from mountladder.membership.link import Link
 from mountladder.routing.serverwish import ServerWish
 
-# How long the other instance is waited for: it answers in a millisecond or two, and a prompt that
-# is placed with less knowledge costs no more than this.
+# Timeout for the coordinator's reply, which usually takes 1 to 2 ms. Placing a prompt locally, with
+# less information, costs no more than this wait.
 REPLY_MS = 60.0
 
 
 class PromptPlacer:
-    """Asks the instance where a service's prompts meet for a server, or decides here without it.
+    """Asks a service's coordinator for a server for a prompt, or chooses one locally.
 
     Args:
-        fleet: The other instances.
+        fleet: Connects to the other instances.
         desk: Places prompts on this instance.
         clock: The clock.
+
+    Attributes:
+        replies: Callbacks for outstanding orders, by order number.
+        homes: The link to the instance that placed a prompt, or None for this instance, by
+            order number.
     """
 
     def __init__(self, fleet: Fleet, desk: PlacementDesk, clock: Clock) -> None:
@@ -50,7 +55,7 @@
         fleet.peer_gone.append(lambda link: desk.drop(id(link)))
 
     def place(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
-        """Return where a prompt is to go; its number stands for it until it has ended."""
+        """Return the placement of a prompt; its number identifies the prompt until it ends."""
         order = self.order(service, prompt, wish)
         link = self.fleet.home(prompts_topic(service))
         reply = self.ask(link, order) if link is not None else None
@@ -61,30 +66,30 @@
         return reply
 
     def place_here(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
-        """Return where a prompt is to go by what this instance alone knows; see place."""
+        """Return a placement by what this instance alone knows; see place."""
         return self.decide(self.order(service, prompt, wish))
 
     def order(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementOrder:
-        """Return a new order for a prompt; see place."""
+        """Return a new placement order; see place."""
         number, excluded = next(self.numbers), tuple(wish.excluded)
         return PlacementOrder(
             number, service, prompt, excluded, wish.site, wish.patience_ms, wish.urgency
         )
 
     def decide(self, order: PlacementOrder) -> PlacementReply:
-        """Place a prompt on this instance."""
+        """Carry out a placement order on this instance."""
         reply = self.desk.place(order, HERE)
         if reply.server:
             self.homes[order.number] = None
         return reply
 
     def ask(self, link: Link, order: PlacementOrder) -> PlacementReply | None:
-        """Ask another instance; return None where it does not answer soon."""
+        """Send an order to another instance; return None if the reply does not come in time."""
         answered = Event()
         replies: list[PlacementReply] = []
 
         def take(reply: PlacementReply) -> None:
-            """Take in the reply."""
+            """Store the reply and wake the waiting request."""
             replies.append(reply)
             answered.set()
 
@@ -95,7 +100,8 @@
         finally:
             self.replies.pop(order.number, None)
             if not replies:
-                # The caller may have left; else the other instance counts the prompt for ever.
+                # Without this note the other instance would count the prompt forever, for example
+                # after the caller cancelled.
                 self.fleet.send_later(link, PlacementNote(order.number, 0.0, True))
         if not replies:
             log_message("placement-unanswered", peer=link.peer.name, waited_ms=REPLY_MS)
@@ -105,7 +111,7 @@
     def note(
         self, number: int, read_ms: float = 0.0, ended: bool = False, gone: bool = False
     ) -> None:
-        """Tell what became of a prompt that was placed."""
+        """Report the progress of a prompt to the instance that placed it."""
         if number not in self.homes:
             return
         link = self.homes.pop(number) if ended else self.homes[number]
@@ -116,15 +122,15 @@
             self.fleet.send_later(link, note)
 
     def take_order(self, order: PlacementOrder, link: Link) -> None:
-        """Place a prompt for another instance."""
+        """Place a prompt for another instance and send the reply."""
         self.fleet.send_later(link, self.desk.place(order, id(link)))
 
     def take_reply(self, reply: PlacementReply, link: Link) -> None:
-        """Take in where a prompt is to go."""
+        """Pass a reply to the request that waits for it."""
         take = self.replies.get(reply.number)
         if take is not None:
             take(reply)
 
     def take_note(self, note: PlacementNote, link: Link) -> None:
-        """Take in what became of another instance's prompt."""
+        """Apply a progress report of another instance."""
         self.desk.note(note, id(link))
--- a/packages/core/src/mountladder/forwarding/prompttransfer.py
+++ b/packages/core/src/mountladder/forwarding/prompttransfer.py
@@ -1,8 +1,8 @@
-# prompttransfer.py -- What moving kept parts of prompts between model servers takes
+# prompttransfer.py -- Cost of transferring cached prompt parts between model servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What moving kept parts of prompts between model servers takes."""
+"""Cost of transferring cached prompt parts between model servers."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from mountladder.forwarding.linktime import link_ms
 
-# Setting a transfer up takes a few milliseconds at the engines in use; with less than a step it
-# is of no weight against reading.
+# Setting up a transfer takes a few milliseconds in current engines, less than one batch step and
+# negligible compared with prefill.
 SET_UP_MS = 3.0
 # Between data centres a transfer takes twice as long.
 FAR_FACTOR = 2.0
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptTransfer:
-    """What moving kept parts of prompts between model servers takes.
+    """Cost of transferring cached prompt parts between model servers.
 
     Attributes:
-        token_bytes: The memory of one token, in bytes.
+        token_bytes: The cache size of one token, in bytes.
         link_mbps: The bandwidth of a server's link, in Mbit/s.
     """
 
@@ -30,6 +30,11 @@
     link_mbps: float
 
     def expected_ms(self, tokens: int, far: bool) -> float:
-        """Return how long moving some tokens takes, in milliseconds."""
+        """Return the expected time to transfer tokens, in milliseconds.
+
+        Args:
+            tokens: The number of tokens.
+            far: Whether the servers are in different data centres.
+        """
         moving_ms = link_ms(tokens * self.token_bytes, self.link_mbps)
         return SET_UP_MS + moving_ms * (FAR_FACTOR if far else 1.0)
--- a/packages/core/src/mountladder/forwarding/repeats.py
+++ b/packages/core/src/mountladder/forwarding/repeats.py
@@ -1,8 +1,8 @@
-# repeats.py -- Whether a request that failed at a server is sent again
+# repeats.py -- Retry rules for forwarded requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whether a request that failed at a server is sent again, and else what its caller is told."""
+"""Decides whether a failed request is retried, and otherwise which error the caller gets."""
 
 from __future__ import annotations
 
@@ -14,27 +14,26 @@
 if TYPE_CHECKING:
     from mountladder.forwarding.forwardrun import ForwardRun
 
-# How often a request is sent where no server says that it ran; each sending but the first also
-# costs a part of the retry budget.
+# Maximum number of attempts that reached a server. Each retry also spends from the retry budget.
 MOST_SENDINGS = 4
-# How often a request is sent where nobody takes the connection; where so many servers are gone, a
-# caller is better told so.
+# Maximum number of attempts that could not connect. With this many servers gone the caller gets an
+# error instead of a longer wait.
 MOST_UNREACHED = 8
-# A repeat that would have less time than this is not worth a server's work.
+# A retry with less time than this is unlikely to finish and would waste a server's work.
 LEAST_LEFT_MS = 30.0
-# When a caller may come back after every server that was asked was full.
+# When a caller may retry after all tried servers were full.
 FULL_RETRY_MS = 300.0
-# Codes of attempts that ended since no answer came in time.
+# Codes of attempts that timed out.
 _SILENT = frozenset({Code.STAGE_STALLED, Code.DEADLINE_PASSED})
 
 
 def why_not_again(run: ForwardRun, error: StageError) -> MountladderError | None:
-    """Return what the caller is told where a failed request is not sent again, else None."""
+    """Return the error for the caller if a failed request is not retried, or None if it is."""
     if error.dispatched and not run.route.repeatable:
         code = Code.DEADLINE_PASSED if error.code in _SILENT else Code.OUTCOME_UNKNOWN
         return RunError(error.detail, code)
     if run.left() < LEAST_LEFT_MS:
-        return told(run, RunError("no time is left for a repeat", Code.DEADLINE_PASSED))
+        return told(run, RunError("not enough time left for a retry", Code.DEADLINE_PASSED))
     arrivals = run.sendings - run.unreached
     spent = arrivals >= MOST_SENDINGS or run.unreached >= MOST_UNREACHED
     if run.runs >= run.route.most_attempts or spent:
@@ -46,7 +45,7 @@
 
 
 def told(run: ForwardRun, error: MountladderError) -> MountladderError:
-    """Return an error as the caller is told it: a refusal only where nothing ran."""
+    """Return an error as the caller gets it: a refusal only if nothing was executed."""
     begun = run.has_begun()
     if begun and isinstance(error, RefusalError):
         barred = error.code is Code.QUARANTINED
--- a/packages/core/src/mountladder/forwarding/retrybudgets.py
+++ b/packages/core/src/mountladder/forwarding/retrybudgets.py
@@ -1,8 +1,8 @@
-# retrybudgets.py -- The retry budget of each service
+# retrybudgets.py -- Retry budgets of services
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The retry budget of each service."""
+"""Retry budgets of services."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class RetryBudgets:
-    """Holds this instance's part of the retry budget that all share, for each service.
+    """Holds this instance's share of each service's retry budget.
 
     Args:
-        settings: Returns the settings in force.
-        membership: Who shares the budget.
+        settings: Returns the current settings.
+        membership: The instances that share the budget.
         clock: The clock.
     """
 
@@ -42,9 +42,9 @@
         return budget
 
     def reserve(self) -> float:
-        """Return this instance's part of the common reserve of retries."""
+        """Return this instance's share of the common reserve of retries."""
         return self.settings().retry_reserve / self.membership.sharing()
 
     def renew(self) -> None:
-        """Make all budgets anew, after the settings have changed."""
+        """Recreate all budgets after a change of settings."""
         self.budgets.clear()
--- a/packages/core/src/mountladder/forwarding/route.py
+++ b/packages/core/src/mountladder/forwarding/route.py
@@ -16,23 +16,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of a host and path prefix go, and what they are promised.
+    """Targets, timeouts and latency targets of the requests with a host and path prefix.
 
     Attributes:
         name: The route's name.
-        host: The host that requests name.
-        prefix: How their path begins.
-        kind: What may be repeated.
-        targets: The services that share the requests.
-        timeout_ms: How long a request may be kept waiting.
-        aim_ms: Within which time an answer earns its full credit (streams: the first event).
-        gap_ms: The longest pause between two events of an answer that is on time.
-        priority: Its rank among routes; 0 is the most urgent.
-        most_attempts: To how many servers one request may be sent.
-        stages: What is done before a request can run.
-        public: Whether requests need no key.
-        resumable: Whether a stream may go on at another server.
-        prompts: Whether requests carry prompts whose parts servers cache.
+        host: The host that requests are sent to.
+        prefix: The prefix of the request path.
+        kind: Whether requests are idempotent, and whether answers are streamed.
+        targets: The services among which requests are distributed.
+        timeout_ms: The maximum duration of a request, in milliseconds.
+        aim_ms: The latency target for the answer, or a stream's first event, in milliseconds.
+        gap_ms: The longest pause between two events of a stream that is on time, in milliseconds.
+        priority: The default priority of requests; 0 is the most urgent.
+        most_attempts: The maximum number of servers that may execute one request.
+        stages: The stages that run before the request is sent to a server.
+        public: Whether requests need no API key.
+        resumable: Whether a broken stream may be resumed at another server.
+        prompts: Whether requests have prompts, whose parts servers cache.
     """
 
     name: str
@@ -52,19 +52,19 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request that may have run can be sent again."""
+        """Return whether a request that may have been executed can be retried."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.SAFE
 
     def draw(self, rng: random.Random) -> str:
-        """Return the service for one request, drawn by the targets' weights."""
+        """Return a service for one request, drawn at random by the targets' weights."""
         if len(self.targets) == 1:
             return self.targets[0].service
         weights = [target.weight for target in self.targets]
         return rng.choices([target.service for target in self.targets], weights)[0]
 
     def last_stages(self) -> tuple[int, ...]:
-        """Return the numbers of the stages that no other stage follows."""
+        """Return the indexes of the stages that no other stage depends on."""
         followed = {number for stage in self.stages for number in stage.after}
         return tuple(n for n in range(len(self.stages)) if n not in followed)
--- a/packages/core/src/mountladder/forwarding/routekind.py
+++ b/packages/core/src/mountladder/forwarding/routekind.py
@@ -1,8 +1,8 @@
-# routekind.py -- What a route's requests may be repeated as
+# routekind.py -- Retry and streaming behaviour of a route's requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a route's requests may be repeated as."""
+"""Retry and streaming behaviour of a route's requests."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RouteKind(Enum):
-    """How the requests of a route behave.
+    """Retry and streaming behaviour of a route's requests.
 
-    SAFE requests are idempotent, UNSAFE ones run at most once, and STREAM ones are answered event
-    by event and run at most once unless their route lets them be resumed.
+    SAFE requests are idempotent. UNSAFE requests are executed at most once. STREAM requests are
+    answered with an event stream, and executed at most once unless their route is resumable.
     """
 
     SAFE = "safe"
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -1,8 +1,8 @@
-# serverpicker.py -- Which backend server a forwarded request goes to
+# serverpicker.py -- Selection of backend servers for forwarded requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which backend server a forwarded request goes to."""
+"""Selects backend servers for forwarded requests."""
 
 from __future__ import annotations
 
@@ -26,29 +26,35 @@
 from mountladder.routing.serverwish import ServerWish
 from mountladder.serverlimits.serverlimits import ServerLimits
 
-# When a caller may come back where no server can be used: about as long as a breaker stays open.
+# When a caller may retry if no server is available: about as long as a circuit breaker stays open.
 NO_SERVER_RETRY_MS = 1_000.0
-# Servers that limit what they take are tried so often while others have room, by one instance or
-# another; only an answer tells that a limit has ended.
+# Interval at which servers with a rate limit are probed, by all instances together, while others
+# have capacity. Only an answer of the server shows that its limit has ended.
 TRY_MS = 250.0
-# What stands for the prompt of a request without one where its server is chosen with those.
+# Placeholder for requests without a prompt that are placed through the service's coordinator.
 NO_PROMPT = Prompt(0, 0, ())
-# Callers that were refused during a rest come back over this part of the time in which they came,
-# so at most three times as many as usual, those that come then included.
+# Callers that were refused during a back-off are spread over this fraction of the time in which
+# they were refused, so that at most three times the usual number, new callers included, arrive.
 RETURN_PART = 0.5
-# Failures that tell of the server itself, not of the request.
+# Failures that concern the server itself, not the request.
 GONE = frozenset({Code.CONNECT_FAILED, Code.SERVER_REPLACED, Code.SERVER_REFUSED})
 
 
 class ServerPicker:
-    """Chooses servers for forwarded requests: by prompt for models, else by expected completion.
+    """Chooses servers for forwarded requests.
+
+    Requests with a prompt are placed by their prompt, others by expected completion time.
 
     Args:
-        directory: Which servers there are.
-        router: Chooses and learns.
-        placer: Places prompts.
-        cold: Knows which servers have just started.
-        limits: Knows which servers limit what they take.
+        directory: The list of backend servers.
+        router: Chooses servers by expected completion and learns from outcomes.
+        placer: Places prompts through the service's coordinator.
+        cold: Tracks servers that have just started.
+        limits: Tracks servers that limit their request rate.
+
+    Attributes:
+        tried: When servers with a rate limit were last probed, by service.
+        stages: The keys under which the router keeps learned times, by service.
     """
 
     def __init__(
@@ -75,14 +81,14 @@
         Args:
             request: The request.
             service: The service.
-            budget_ms: The time that is left.
-            wish: What it wants of its server.
+            budget_ms: The time until the request's deadline, in milliseconds.
+            wish: The constraints on the server.
 
         Raises:
-            RefusalError: There is none, none is in use, or none can be reached or takes it in time.
+            RefusalError: No server exists, is in use, can be reached or accepts it in time.
         """
         if self.directory.is_cut_off(service):
-            # A connection that cannot come about costs the caller 300 ms for each server.
+            # Each failing connection attempt would cost the caller 300 ms.
             raise self.none_available(service)
         if request.prompt is not None:
             return self.pick_for_prompt(request.prompt, service, wish)
@@ -90,7 +96,7 @@
         free = self.free_of_limits(servers)
         if len(free) == len(servers):
             return self.pick_among(free, request, service, budget_ms, wish)
-        # Where their requests meet it is known what the others may get yet.
+        # The service's coordinator knows how much the other servers may still be sent.
         others = wish.without(one.name for one in free)
         if not free:
             return self.pick_for_prompt(NO_PROMPT, service, others)
@@ -110,7 +116,7 @@
         budget_ms: float,
         wish: ServerWish,
     ) -> Picked:
-        """Choose a server that takes whatever is sent; see pick."""
+        """Choose among servers without a rate limit; see pick."""
         stage, length = self.stage(service), len(request.body)
         try:
             return Picked(self.router.pick(servers, stage, length, budget_ms, wish.excluded))
@@ -118,7 +124,7 @@
             raise self.none_available(service) from error
 
     def free_of_limits(self, servers: tuple[BackendServer, ...]) -> tuple[BackendServer, ...]:
-        """Return the servers that are not cold and name no limit."""
+        """Return the servers that are neither cold nor rate-limited."""
         warm = self.cold.warm(servers)
         limited = self.limits.limited(warm)
         return tuple(one for one in warm if one.name not in limited) if limited else warm
@@ -130,9 +136,9 @@
         free: tuple[BackendServer, ...],
         others: ServerWish,
     ) -> Picked | None:
-        """Use what servers with a limit take where the others are crowded, else now and then.
+        """Use a rate-limited server if the others are overloaded, otherwise as a periodic probe.
 
-        Only their answers tell that a limit has ended. Cold servers are left alone meanwhile.
+        Only answers of limited servers show that a limit has ended. Cold servers are not used.
         """
         cold = self.cold.cold(servers)
         if len(free) + len(cold) == len(servers) or not self.is_due(service, free):
@@ -141,11 +147,11 @@
             wish = replace(others.without(cold), patience_ms=0.0)
             return self.pick_for_prompt(NO_PROMPT, service, wish)
         except RefusalError:
-            log_message("limited-servers-spent", service=service, free=len(free))
+            log_message("limited-servers-exhausted", service=service, free=len(free))
             return None
 
     def is_due(self, service: str, free: tuple[BackendServer, ...]) -> bool:
-        """Tell whether servers with a limit are to be tried beside those that are free of it."""
+        """Return whether rate-limited servers are to be used in addition to unlimited ones."""
         now = self.router.clock.now()
         every_ms = TRY_MS * self.placer.fleet.membership.sharing()
         due = now - self.tried.get(service, -every_ms) >= every_ms
@@ -155,24 +161,25 @@
         return True
 
     def is_scarce(self, service: str) -> bool:
-        """Tell whether all servers of a service limit what they take."""
+        """Return whether all servers of a service limit their request rate."""
         servers = self.directory.available(service)
         return bool(servers) and len(self.limits.limited(servers)) == len(servers)
 
     def is_open(self, picked: Picked, service: str) -> bool:
-        """Tell whether a request may still be sent to the server that was picked for it."""
+        """Return whether a request may still be sent to the server that was picked for it."""
         state = picked.choice.state
         names = {one.name for one in self.directory.available(service)}
         return state.server.name in names and state.rest_ms(self.router.clock.now()) <= 0
 
     def rest_ms(self, service: str) -> float:
-        """Return for how much longer all servers of a service want no requests from here, or 0."""
+        """Return how long all servers of a service still ask this instance to back off, or 0."""
         return self.router.rest_ms(self.directory.available(service))
 
     def resting(self, service: str) -> RefusalError:
-        """Return the refusal of a request while all servers of its service want rest.
+        """Return the refusal of a request while all servers of its service ask to back off.
 
-        Callers come back over a part of the time in which they were refused, not all at once.
+        Retry times are spread over a fraction of the time in which callers were refused, so that
+        they do not all retry at once.
         """
         now = self.router.clock.now()
         states = [self.router.state(one) for one in self.directory.available(service)]
@@ -181,7 +188,7 @@
         return RefusalError("", Code.SERVERS_RESTING, retry_after_ms=back_ms)
 
     def check_servers(self, service: str) -> None:
-        """Refuse what a service is needed for that has no server which may be used.
+        """Check that a service has a server that may be used.
 
         Raises:
             RefusalError: It has none.
@@ -190,11 +197,11 @@
             raise self.none_available(service)
 
     def none_available(self, service: str, wait_ms: float = 0.0) -> RefusalError:
-        """Return the refusal of a request for whose service no server may be used now.
+        """Return the refusal of a request whose service has no available server.
 
         Args:
             service: The service.
-            wait_ms: When it is to come back, where servers limit what they take, or 0.
+            wait_ms: The time to retry after if servers limit their request rate, or 0.
         """
         if wait_ms > 0:
             return RefusalError("", Code.SERVERS_LIMITED, retry_after_ms=wait_ms)
@@ -203,12 +210,12 @@
         return RefusalError("", code, retry_after_ms=NO_SERVER_RETRY_MS)
 
     def pick_for_prompt(self, prompt: Prompt, service: str, wish: ServerWish) -> Picked:
-        """Choose a server where the prompts of its service meet; see pick."""
+        """Choose a server through the service's coordinator; see pick."""
         servers = {one.name: one for one in self.directory.available(service)}
         wish = wish.without(self.out_of_use(servers.values()))
         reply = self.placer.place(service, prompt, wish)
         if reply.server and reply.server not in servers:
-            # Where prompts meet it is not known yet that the server is not to be used any more.
+            # The coordinator has not learned yet that the server is no longer available.
             log_message("placement-outdated", service=service, server=reply.server)
             self.placer.note(reply.number, ended=True)
             reply = self.placer.place_here(service, prompt, wish)
@@ -224,7 +231,7 @@
         return Picked(choice, reply.number, reply.source, reply.read, now + reply.wait_ms)
 
     def out_of_use(self, servers: Iterable[BackendServer]) -> frozenset[str]:
-        """Return the names of the servers that this instance itself has taken out of use."""
+        """Return the names of the servers that this instance itself does not use at present."""
         now = self.router.clock.now()
         return frozenset(one.name for one in servers if not self.router.state(one).usable(now))
 
@@ -237,7 +244,7 @@
         load: int | None,
         goes_on: bool,
     ) -> None:
-        """Learn from a call that was answered; a stream goes on after its first event."""
+        """Record a call that was answered; a stream continues after its first event."""
         stage, length = self.stage(service), len(request.body)
         self.router.succeeded(picked.choice, stage, length, elapsed_ms, load)
         if goes_on:
@@ -254,13 +261,13 @@
     def failed(
         self, picked: Picked, request: ForwardRequest, service: str, code: Code, elapsed_ms: float
     ) -> None:
-        """Learn from a call that failed."""
+        """Record a call that failed."""
         stage = self.stage(service)
         self.router.failed(picked.choice, code, elapsed_ms, stage, len(request.body))
         self.placer.note(picked.placement, ended=True, gone=code in GONE)
 
     def stage(self, service: str) -> Stage:
-        """Return what the router keeps the learnt times of a service under."""
+        """Return the key under which the router keeps the learned times of a service."""
         stage = self.stages.get(service)
         if stage is None:
             stage = Stage(service, "call", service, "", (), False, False, 0.0)
--- a/packages/core/src/mountladder/forwarding/service.py
+++ b/packages/core/src/mountladder/forwarding/service.py
@@ -18,13 +18,14 @@
 
     Attributes:
         name: Its name.
-        most_connections: How many connections one server accepts from all callers.
-        slots: How many requests a model server batches, or 0 for other servers.
-        kv_tokens: The memory of a model server in tokens, or 0.
-        transfer: What moving prompts between its model servers takes, where they can.
-        batch: What a server takes at once where the service works on stages, or None.
-        cold_ms: For how long a server is cold after its start, in milliseconds.
-        cold_per_s: How many requests a second a cold server tolerates, or 0 for any number.
+        most_connections: The number of connections that one server accepts from all instances, or 0
+            if not limited.
+        slots: How many requests a model server runs in one batch, or 0 for other servers.
+        kv_tokens: The cache capacity of a model server in tokens, or 0 for other servers.
+        transfer: The cost of prompt transfers between its model servers, or None if they have none.
+        batch: The batch limits of a service that runs stages, or None.
+        cold_ms: How long a server is cold after its start, in milliseconds.
+        cold_per_s: How many requests per second a cold server tolerates, or 0 for no limit.
     """
 
     name: str
--- a/packages/core/src/mountladder/forwarding/streamrun.py
+++ b/packages/core/src/mountladder/forwarding/streamrun.py
@@ -1,8 +1,8 @@
-# streamrun.py -- A forwarded request with a streamed answer
+# streamrun.py -- Execution of a forwarded request with a streamed answer
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A forwarded request with a streamed answer."""
+"""Executes a forwarded request with a streamed answer."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
 from mountladder.metrics.metric import Metric
 
 SUCCESS = 300
-# A stream that may go on elsewhere is moved when its first event is this many aims late, or when
-# a pause is this many times the longest that is on time; before, a slow server may still be right.
+# A resumable stream moves to another server when its first event takes longer than this many
+# latency targets, or a pause longer than this many times the route's longest pause. Until then a
+# slow server may still answer sooner than another one.
 FIRST_EVENT_AIMS = 1.0
 GAPS = 5.0
 LEAST_GAP_MS = 1_000.0
 
 
 class StreamRun(ForwardRun):
-    """A request whose answer is passed on event by event.
+    """A request whose answer is forwarded event by event.
 
-    Only whole events are passed on, so that a stream that is cut within one can go on behind the
-    last whole one.
+    Only complete events are forwarded, so that a stream that breaks within an event can be resumed
+    after the last complete one.
     """
 
     def answer(self) -> ForwardAnswer:
-        """Return the answer once its first event is there; see ForwardRun."""
+        """Return the answer once its first event has arrived; see ForwardRun."""
         splitter = EventSplitter(self.request.after_event)
         try:
             attempt, answer, first = self.open(splitter)
@@ -50,14 +51,14 @@
             self.context.forecast.learn(self.route, self.expected_ms, self.elapsed())
         self.log("first-event", server=attempt.server, elapsed_ms=round(self.elapsed()))
         if self.flow is not None:
-            # The server has fetched them. Room for results binds in bursts, and a stream that is
-            # cut has them made again.
+            # The server has fetched the results. Memory for results runs short under load, and a
+            # stream that breaks has its stages rerun.
             self.flow.release()
         body = self.events(attempt, answer, splitter, first)
         return ForwardAnswer(answer.status, answer.headers, body)
 
     def whole(self, attempt: ForwardAttempt, answer: UpstreamAnswer) -> ForwardAnswer:
-        """Return an answer that is no stream, such as the server's own failure."""
+        """Return an answer that is not a stream, such as an error of the server."""
         try:
             body = answer.read(self.left())
         except StageError as error:
@@ -69,10 +70,10 @@
         return ForwardAnswer(answer.status, answer.headers, body)
 
     def open(self, splitter: EventSplitter) -> tuple[ForwardAttempt, UpstreamAnswer, bytes]:
-        """Send the request until a server has sent its first whole event.
+        """Send the request until a server has sent a complete event, or a status of 300 or above.
 
         Returns:
-            The attempt, its answer, and the events so far.
+            The attempt, its answer and the events received so far.
         """
         inputs = self.make_inputs()
         while True:
@@ -104,14 +105,14 @@
                 return attempt, answer, first
 
     def release_soon(self) -> None:
-        """Give up the results of stages once the server that was reached has fetched them."""
+        """Schedule the release of stage results for when the server should have fetched them."""
         if self.flow is not None and self.flow.handles:
             size = self.flow.result_bytes()
             wait_ms = self.context.fetch_time.wait_ms(size, self.flow.link_mbps())
             self.cancel_release = self.context.clock.call_later(wait_ms, self.flow.release)
 
     def learn_gone(self) -> None:
-        """Learn from results that a server could not fetch; they are made again."""
+        """Record that a server could not fetch stage results, which are made again."""
         if self.flow is not None and not self.flow.handles:
             self.context.fetch_time.too_early()
         elif self.flow is not None:
@@ -120,13 +121,13 @@
     def first_events(
         self, attempt: ForwardAttempt, answer: UpstreamAnswer, splitter: EventSplitter
     ) -> bytes:
-        """Return the first whole events of an answer.
+        """Return the first complete events of an answer.
 
         Raises:
-            StageError: The answer is no stream of events, or none came in time.
+            StageError: The answer is unsigned, malformed or ended early, or no event came in time.
         """
         if not answer.signed:
-            raise StageError("a success without a signature", Code.BAD_ANSWER)
+            raise StageError("a successful answer without the server's signature", Code.BAD_ANSWER)
         splitter.rest = b""
         while True:
             data = answer.read_some(self.first_ms(attempt))
@@ -143,10 +144,10 @@
         splitter: EventSplitter,
         first: bytes,
     ) -> Iterator[bytes]:
-        """Yield the events of a stream, going on at other servers where that is allowed.
+        """Yield the events of a stream, resuming it at other servers where that is allowed.
 
         Raises:
-            MountladderError: The stream is cut, and the caller must see that it is not whole.
+            MountladderError: The stream broke; the caller must see that it is incomplete.
         """
         error: MountladderError | None = RunError("", Code.CANCELLED)
         held: ForwardAttempt | None = attempt
@@ -175,10 +176,10 @@
             self.finish(error, status=answer.status)
 
     def rest(self, answer: UpstreamAnswer, splitter: EventSplitter) -> Iterator[bytes]:
-        """Yield the events of one server's answer up to its end.
+        """Yield the remaining events of one server's answer.
 
         Raises:
-            StageError: It broke off, or a pause was too long.
+            StageError: The stream broke, or a pause was too long.
         """
         while True:
             data = answer.read_some(self.gap_ms())
@@ -193,10 +194,10 @@
     def resume(
         self, attempt: ForwardAttempt, cut: StageError, splitter: EventSplitter
     ) -> tuple[ForwardAttempt, UpstreamAnswer, bytes]:
-        """Go on with a cut stream at another server.
+        """Resume a broken stream at another server.
 
         Raises:
-            MountladderError: It may not go on.
+            MountladderError: The stream may not be resumed, or that failed.
         """
         self.case.failed(attempt.choice.state.server, attempt.started, cut)
         self.excluded |= {attempt.server}
@@ -208,7 +209,7 @@
             code=cut.code.number,
             reason=cut.detail,
             after_event=splitter.last_id,
-            outcome="gives up" if problem else "goes on elsewhere",
+            outcome="not resumed" if problem else "resumed",
         )
         attempt.choice.state.breaker.fail(self.context.clock.now())
         if problem is not None:
@@ -218,36 +219,40 @@
         if found[1].status >= SUCCESS:
             found[1].close()
             self.learn_failure(found[0], Code.STAGE_FAILED)
-            raise RunError(f"status {found[1].status} on going on", Code.STREAM_CUT)
+            raise RunError(f"status {found[1].status} while resuming the stream", Code.STREAM_CUT)
         return found
 
     def make_inputs(self) -> tuple[str, ...]:
-        """Return the handles that the request needs, made again only where they are gone."""
+        """Return the handles of stage results; rerun the stages only if they were released."""
         if self.flow is not None and self.flow.handles:
             return self.flow.inputs()
         return super().make_inputs()
 
     def split(self, splitter: EventSplitter, data: bytes) -> bytes:
-        """Return the events that are whole now."""
+        """Return the events that the data completes.
+
+        Raises:
+            StageError: An event is too long.
+        """
         try:
             return splitter.feed(data)
         except ValueError as error:
             raise StageError(str(error), Code.BAD_ANSWER) from error
 
     def first_ms(self, attempt: ForwardAttempt) -> float:
-        """Return how long the first event is waited for."""
+        """Return the timeout for the first event, in milliseconds."""
         if not self.route.resumable or self.sendings >= self.route.most_attempts:
             return self.left()
         waited = self.context.clock.now() - attempt.started
         return min(self.left(), max(1.0, FIRST_EVENT_AIMS * self.route.aim_ms - waited))
 
     def gap_ms(self) -> float:
-        """Return how long the next event is waited for."""
+        """Return the timeout for the next event, in milliseconds."""
         if not self.route.resumable or self.runs + 1 >= self.route.most_attempts:
             return self.left()
         return min(self.left(), max(LEAST_GAP_MS, GAPS * self.route.gap_ms))
 
     def learn_failure(self, attempt: ForwardAttempt, code: Code) -> None:
-        """Learn from an attempt that is not repeated."""
+        """Record a failed attempt that is not retried."""
         elapsed_ms = self.context.clock.now() - attempt.started
         self.context.picker.failed(attempt.picked, self.request, self.service, code, elapsed_ms)
--- a/packages/core/src/mountladder/forwarding/turn.py
+++ b/packages/core/src/mountladder/forwarding/turn.py
@@ -1,8 +1,8 @@
-# turn.py -- A request's turn at a backend server
+# turn.py -- Reservation of a slot at a backend server for a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request's turn at a backend server."""
+"""Reservation of a slot at a backend server for a request."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 if TYPE_CHECKING:
     from mountladder.forwarding.forwardrun import ForwardRun
 
-# The part of its aim that a request without a prompt is taken to need itself.
+# The assumed duration of a request without a prompt, as a fraction of its latency target.
 OWN_PART = 0.5
-# Once work of its stages is spent, a request waits for this part of all the time that it has.
+# After work was spent on its stages, a request may wait for this fraction of its remaining time.
 BEGUN_PART = 0.75
 
 
 class Turn:
-    """Chooses servers for a request, and waits where all of them limit what they take.
+    """Chooses servers for a request and reserves a slot if all of them limit their request rate.
 
     Args:
-        run: The request.
+        run: The execution of the request.
 
     Attributes:
-        booked: The server at which it has a turn already, or None.
+        booked: The server at which a slot is reserved, or None.
     """
 
     def __init__(self, run: ForwardRun) -> None:
@@ -39,13 +39,13 @@
         self.booked: Picked | None = None
 
     def book(self, stages_ms: float) -> None:
-        """Have a turn kept before any stage is run, where all servers limit what they take.
+        """Reserve a slot before any stage runs, if all servers limit their request rate.
 
         Args:
-            stages_ms: How long its stages are expected to take.
+            stages_ms: How long the stages are expected to take, in milliseconds.
 
         Raises:
-            RefusalError: It would have to wait too long for it, or for servers that want rest.
+            RefusalError: The wait for a slot, or for the end of a back-off, would be too long.
         """
         if self.picker.rest_ms(self.run.service) > max(stages_ms, self.patience_ms()):
             raise self.picker.resting(self.run.service)
@@ -53,10 +53,10 @@
             self.booked = self.pick(max(stages_ms, self.patience_ms()))
 
     def take(self) -> Picked:
-        """Choose a server, and wait until it takes the request.
+        """Choose a server, or use the reserved one, and wait until it accepts the request.
 
         Raises:
-            RefusalError: No server can be used, or none takes it in time.
+            RefusalError: No server is available, or none accepts the request in time.
         """
         while True:
             self.run.case.admit(self.run.left())
@@ -69,19 +69,19 @@
             self.give_back(picked)
 
     def wait_for_rest(self) -> None:
-        """Wait while all servers want no requests from here, where that ends soon enough.
+        """Wait while all servers ask this instance to back off.
 
         Raises:
-            RefusalError: It does not.
+            RefusalError: The back-off takes too long.
         """
         while (rest_ms := self.picker.rest_ms(self.run.service)) > 0:
             if rest_ms > self.patience_ms():
                 raise self.picker.resting(self.run.service)
-            self.run.log("waits-for-rest", wait_ms=round(rest_ms))
+            self.run.log("backoff-wait", wait_ms=round(rest_ms))
             self.clock.sleep(rest_ms)
 
     def drop(self) -> None:
-        """Give up a turn that was not taken."""
+        """Cancel a reservation that was not used."""
         if self.booked is not None:
             self.give_back(self.booked)
             self.booked = None
@@ -93,9 +93,10 @@
         return self.picker.pick(run.request, run.service, run.left(), wish)
 
     def patience_ms(self) -> float:
-        """Return how long the request may wait for its turn and be on time, in milliseconds.
+        """Return how long the request may wait for a slot, in milliseconds.
 
-        One of whose stages work is spent already is better late than failed.
+        That is as long as it can still meet its latency target, or longer once work was spent on
+        its stages: then a late answer is better than an error.
         """
         run = self.run
         aim_ms, prompt = run.route.aim_ms, run.request.prompt
@@ -104,11 +105,11 @@
         return max(0.0, wait_ms, BEGUN_PART * run.left() if run.has_begun() else 0.0)
 
     def wait_for(self, picked: Picked) -> bool:
-        """Wait until a server takes the request; tell whether that took any time."""
+        """Wait until a server accepts the request; return whether a wait was needed."""
         wait_ms = picked.ready_at - self.clock.now()
         if wait_ms <= 0:
             return False
-        self.run.log("waits", server=picked.choice.state.server.name, wait_ms=round(wait_ms))
+        self.run.log("slot-wait", server=picked.choice.state.server.name, wait_ms=round(wait_ms))
         try:
             self.clock.sleep(wait_ms)
         except BaseException:
@@ -117,5 +118,5 @@
         return True
 
     def give_back(self, picked: Picked) -> None:
-        """Take back the choice of a server that is not sent the request."""
+        """Cancel the choice of a server to which the request is not sent."""
         self.picker.failed(picked, self.run.request, self.run.service, Code.CANCELLED, 0.0)
--- a/packages/core/src/mountladder/forwarding/turnedaway.py
+++ b/packages/core/src/mountladder/forwarding/turnedaway.py
@@ -1,30 +1,30 @@
-# turnedaway.py -- Whom servers that limit what they take leave no turn
+# turnedaway.py -- Retry times for requests that rate-limited servers cannot accept
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whom servers that limit what they take leave no turn."""
+"""Retry times for requests that rate-limited servers cannot accept."""
 
 from __future__ import annotations
 
 from mountladder.clocks.timer import MS_PER_SECOND
 
-# While more urgent requests were turned away so lately, others leave them what servers take.
+# For this long after a request was rejected, less urgent ones leave limited capacity to others.
 GIVES_WAY_MS = 1_000.0
-# Nobody is asked to come back sooner: less than a connection of its own may take.
+# The minimum retry delay; opening a connection may take longer than a smaller one.
 LEAST_BACK_MS = 20.0
-# Places to come back are handed out at most so far ahead; few callers wait longer.
+# Retry times are assigned at most this far ahead, since few callers wait longer.
 FARTHEST_MS = 10_000.0
 
 
 class TurnedAway:
-    """Remembers who was turned away at a service whose servers all limit what they take.
+    """Assigns retry times to requests rejected by a service whose servers all limit their rate.
 
-    So the less urgent are turned away first, and those that were come back one after the other, as
-    the servers take them, in place of all at once for the same turn.
+    The less urgent requests are rejected first. Rejected callers retry one after the other, at the
+    rate of the servers, instead of competing for the same slot at once.
 
     Attributes:
-        last: When requests of each rank were last turned away.
-        back_at: Up to when all that servers take is promised to those that come back.
+        last: When a request of each priority was last rejected.
+        back_at: The next free retry time; earlier capacity is assigned to callers that retry.
     """
 
     def __init__(self) -> None:
@@ -32,17 +32,17 @@
         self.back_at = 0.0
 
     def gives_way(self, urgency: int, now: float) -> bool:
-        """Tell whether a request leaves its turn to more urgent ones."""
+        """Return whether a request must leave its slot to more urgent ones."""
         return any(rank < urgency and now - at < GIVES_WAY_MS for rank, at in self.last.items())
 
     def add(self, urgency: int, wait_ms: float, per_s: float, now: float) -> float:
-        """Turn a request away, and return when it is to come back, in milliseconds.
+        """Record a rejected request and return its retry delay, in milliseconds.
 
         Args:
-            urgency: Its rank.
-            wait_ms: When a server would take one more.
-            per_s: How many requests a second all servers take.
-            now: The clock's time.
+            urgency: The request's priority; 0 is the most urgent.
+            wait_ms: How long until a server accepts another request, in milliseconds.
+            per_s: How many requests per second all servers together accept.
+            now: The current time, in the clock's milliseconds.
         """
         self.last[urgency] = now
         first = max(now + max(wait_ms, LEAST_BACK_MS), self.back_at)
--- a/packages/core/src/mountladder/forwarding/upstream.py
+++ b/packages/core/src/mountladder/forwarding/upstream.py
@@ -1,8 +1,8 @@
-# upstream.py -- Calls to backend servers
+# upstream.py -- Interface for calls to backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls to backend servers."""
+"""Interface for calls to backend servers."""
 
 from __future__ import annotations
 
@@ -18,60 +18,60 @@
 
 
 class Upstream(ABC):
-    """Calls to backend servers.
+    """Sends calls to backend servers.
 
     Attributes:
-        part_of_connections: Returns how many connections to a server this instance may keep open
-            while no call uses them, or None for as many as it likes.
+        part_of_connections: Returns how many idle connections to a server this instance may keep
+            open, or None for no limit.
     """
 
     part_of_connections: Callable[[BackendServer], int | None] = staticmethod(lambda server: None)
 
     @abstractmethod
     def open(self, server: BackendServer, call: ForwardCall, limit_ms: float) -> UpstreamAnswer:
-        """Send a request and return the answer once its head is there.
+        """Send a request and return the answer once its head has arrived.
 
         Args:
-            server: The server, which must still be the one that the directory named.
-            call: What is sent.
-            limit_ms: How long the head of the answer may take.
+            server: The server; the call fails if another one has its address now.
+            call: The request and the parameters of the call.
+            limit_ms: The timeout for the head of the answer, in milliseconds.
 
         Raises:
-            StageError: There is no answer that belongs to the request, or the server refused; its
-                field `dispatched` tells whether the request may have run.
+            StageError: The server refused, or sent no valid answer in time; the field `dispatched`
+                says whether the request may have been executed.
         """
 
     @abstractmethod
     def run_pieces(
         self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, heard: Heard
     ) -> tuple[PieceResult, ...]:
-        """Have a server work on pieces and return the results in the same order.
+        """Have a server run pieces and return the results in the same order.
 
         Args:
             server: The server.
             pieces: The pieces.
-            limit_ms: How long the answer may take.
-            heard: Told what the answer says of the server; see ForwardCall.
+            limit_ms: The timeout for the answer, in milliseconds.
+            heard: Called with the notices in the answer; see ForwardCall.
 
         Raises:
-            StageError: The server refused, or the answer broke or did not come within the limit.
+            StageError: The server refused, or the answer was incomplete or too late.
         """
 
     @abstractmethod
     def refuses(self, server: BackendServer) -> bool:
-        """Tell whether nobody listens at a server's address, so that it has ended.
+        """Return whether connections to a server are refused, which shows that it has crashed.
 
-        A server that cannot be reached, or does not answer, may live.
+        A server that is unreachable or does not answer may still be running.
         """
 
     @abstractmethod
     def free(self, server: BackendServer, handles: Sequence[str], heard: Heard) -> None:
-        """Tell a server that results are no longer needed; nothing is raised where it fails.
+        """Tell a server that results are no longer needed; failures are ignored.
 
         Args:
-            server: The server that made them.
-            handles: The results.
-            heard: Told what the answer says of the server; see ForwardCall.
+            server: The server that holds the results.
+            handles: The handles of the results.
+            heard: Called with the notices in the answer; see ForwardCall.
         """
 
     @abstractmethod
--- a/packages/core/src/mountladder/forwarding/upstreamanswer.py
+++ b/packages/core/src/mountladder/forwarding/upstreamanswer.py
@@ -1,8 +1,8 @@
-# upstreamanswer.py -- An answer of a backend server that is being read
+# upstreamanswer.py -- A backend server's answer while it is being read
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An answer of a backend server that is being read."""
+"""A backend server's answer while it is being read."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class UpstreamAnswer(ABC):
-    """An answer whose head was read and checked.
+    """An answer whose head has been read and checked.
 
     Attributes:
         status: The HTTP status.
-        headers: The headers to pass on to the caller.
-        signed: Whether the answer bears the server's signature.
-        load: How many calls the server says it has, or None where it does not say.
+        headers: The headers to forward to the caller.
+        signed: Whether the answer has a valid signature of the server.
+        load: The number of calls that the server reports, or None if it does not.
     """
 
     status: int
@@ -28,20 +28,20 @@
 
     @abstractmethod
     def read(self, limit_ms: float) -> bytes:
-        """Return the whole body, and keep the connection for another call.
+        """Return the complete body and keep the connection for another call.
 
         Raises:
-            StageError: It broke off, or took longer than the limit.
+            StageError: The connection broke, or reading took longer than the limit.
         """
 
     @abstractmethod
     def read_some(self, limit_ms: float) -> bytes:
-        """Return the next bytes of the body, or none at its end.
+        """Return the next bytes of the body, or no bytes at its end.
 
         Raises:
-            StageError: It broke off, or nothing came within the limit.
+            StageError: The connection broke, or no data arrived within the limit.
         """
 
     @abstractmethod
     def close(self) -> None:
-        """Close the connection, so that the server stops working."""
+        """Close the connection, so that the server cancels the request."""
--- a/packages/core/src/mountladder/forwarding/wholerun.py
+++ b/packages/core/src/mountladder/forwarding/wholerun.py
@@ -1,8 +1,8 @@
-# wholerun.py -- A forwarded request with a whole answer
+# wholerun.py -- Execution of a forwarded request whose answer is buffered
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A forwarded request with a whole answer."""
+"""Executes a forwarded request whose answer is buffered."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from mountladder.forwarding.forwardrun import ForwardRun
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
 
-# From this status on an answer is the server's own failure.
+# The lowest HTTP status that reports an error of the server.
 FAILURE = 500
-# An idempotent request is sent elsewhere when nothing came within this part of its aim, so that
-# the second answer can still be on time; calls take about a third of the aim (the users' sheet).
+# An idempotent request is sent to another server if no answer begins within this fraction of its
+# latency target. Calls take about a third of the target, so the second answer can be on time.
 FIRST_PART = 0.6
 LEAST_PATIENCE_MS = 100.0
 
 
 class WholeRun(ForwardRun):
-    """A request whose answer is passed on once it is there whole."""
+    """A request whose answer is forwarded once it is complete."""
 
     def answer(self) -> ForwardAnswer:
         """Return the answer; see ForwardRun."""
@@ -38,7 +38,7 @@
         return answer
 
     def try_servers(self, inputs: tuple[str, ...]) -> ForwardAnswer:
-        """Send the request until a server answers."""
+        """Send the request to one server after another until one answers."""
         while True:
             attempt = self.begin()
             answer = None
@@ -62,16 +62,16 @@
             return ForwardAnswer(answer.status, answer.headers, body)
 
     def check(self, answer: UpstreamAnswer) -> None:
-        """Refuse a success without the server's signature.
+        """Check that a successful answer has the server's signature.
 
         Raises:
-            StageError: The answer is not the server's.
+            StageError: The signature is missing or wrong.
         """
         if answer.status < 300 and not answer.signed:
-            raise StageError("a success without a signature", Code.BAD_ANSWER)
+            raise StageError("a successful answer without the server's signature", Code.BAD_ANSWER)
 
     def tries_again(self, attempt: ForwardAttempt, answer: UpstreamAnswer) -> bool:
-        """Learn from a failure that the server reports; tell whether another one is asked."""
+        """Record an error status of a server; return whether the request is retried."""
         error = StageError(f"status {answer.status}", Code.STAGE_FAILED)
         try:
             self.failed(attempt, error)
@@ -80,7 +80,7 @@
         return True
 
     def patience_ms(self) -> float:
-        """Return how long the head of the answer is waited for."""
+        """Return the timeout for the head of the answer, in milliseconds."""
         last = self.sendings >= self.route.most_attempts
         if not self.route.repeatable or last:
             return self.left()
@@ -88,7 +88,7 @@
         return min(self.left(), part)
 
     def abandoned(self, attempt: ForwardAttempt) -> None:
-        """Take back an attempt that was given up since the caller went away."""
+        """Record an attempt that was cancelled because the caller disconnected."""
         elapsed_ms = self.context.clock.now() - attempt.started
         self.context.picker.failed(
             attempt.picked, self.request, self.service, Code.CANCELLED, elapsed_ms
