--- a/features/forwardbasics.py
+++ b/features/forwardbasics.py
@@ -10,9 +10,9 @@
 
 from mountladder.errors import MountladderError
 from mountladder.forwarding.batchlimits import BatchLimits
+from mountladder.forwarding.callerteam import CallerTeam
 from mountladder.forwarding.catalogue import Catalogue
 from mountladder.forwarding.forwardrequest import ForwardRequest
-from mountladder.forwarding.keyholder import KeyHolder
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.promptpart import PromptPart
 from mountladder.forwarding.route import Route
@@ -71,7 +71,7 @@
         "llm": Service("llm", 100, 8, 10_000),
         "enc": Service("enc", 100, batch=BATCH),
     }
-    return Catalogue(version, routes, services, {"k": KeyHolder("desk")}, True)
+    return Catalogue(version, routes, services, {"k": CallerTeam("desk")}, True)
 
 
 def request(id_, path, arrived, host="desk.x", key="k", allowed_ms=3_000.0, **fields):
@@ -105,7 +105,7 @@
 
 def desk_of(instance):
     """Return what places prompts on an instance."""
-    return instance.forwarder.context.picker.placer.desk
+    return instance.forwarder.context.picker.placer.coordinator
 
 
 def serve(context, name, sent):
@@ -208,13 +208,13 @@
 class AllWarm:
     """Stands for what limits cold servers; takes none to be cold."""
 
-    def spent(self, servers, cold, topic):
+    def exhausted(self, servers, cold, topic):
         return frozenset()
 
     def cold(self, servers):
         return frozenset()
 
-    def sent(self, server, requests=1):
+    def record_sent(self, server, requests=1):
         pass
 
 
--- a/features/serversays.py
+++ b/features/serversays.py
@@ -68,7 +68,7 @@
         context.sendings.append(sending)
 
     def open_(server, call, limit_ms):
-        note(server, call.heard, [call.request.id])
+        note(server, call.on_notices, [call.request.id])
         context.opened.append(call)
         return plain_open(server, call, limit_ms)
 
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -254,7 +254,7 @@
     passed = [one for one in context.passed if one]
     assert passed == [events(n, n) for n in range(1, last + 1)], passed
     assert context.splitter.last_id == str(last)
-    assert context.splitter.rest == b"id: 6\ndata: cu"
+    assert context.splitter.incomplete == b"id: 6\ndata: cu"
 
 
 @then("of the {accepts:d} connections that {server} accepts they keep {least:d} to {most:d}")
@@ -262,6 +262,6 @@
     kept = 0
     for instance in context.fleet.instances.values():
         listed = instance.directory.find(server)
-        assert instance.follower.service("desk").most_connections == accepts
+        assert instance.follower.service("desk").max_connections == accepts
         kept += instance.connections.of(listed)
     assert least <= kept <= most, kept
--- a/features/steps/goneserver_steps.py
+++ b/features/steps/goneserver_steps.py
@@ -12,7 +12,7 @@
 from forwardbasics import PROMPT, AllWarm, NoLimits
 
 from mountladder.clocks.virtualclock import VirtualClock
-from mountladder.forwarding.placementdesk import PlacementDesk
+from mountladder.forwarding.placementcoordinator import PlacementCoordinator
 from mountladder.forwarding.placementnote import PlacementNote
 from mountladder.forwarding.placementorder import PlacementOrder
 from mountladder.forwarding.serverrecord import listed_server
@@ -43,7 +43,7 @@
     )
     directory = SimpleNamespace(available=lambda service: servers)
     follower = SimpleNamespace(service=lambda name: None)
-    context.desk = PlacementDesk(
+    context.desk = PlacementCoordinator(
         directory, router, context.desk_clock, follower, AllWarm(), NoLimits()
     )
     context.number = 0
@@ -57,7 +57,7 @@
 @when("an instance could not reach the server of its prompt")
 def not_reached(context):
     context.gone = place(context).server
-    context.desk.note(PlacementNote(context.number, 0.0, True, gone=True), "a peer")
+    context.desk.apply_note(PlacementNote(context.number, 0.0, True, gone=True), "a peer")
 
 
 @then("the next {number:d} prompts go to other servers")
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -24,7 +24,7 @@
 from mountladder.forwarding.piecefailure import PieceFailure
 from mountladder.forwarding.piecequeue import PieceQueue
 from mountladder.forwarding.pieceresult import PieceResult
-from mountladder.forwarding.placementdesk import PlacementDesk
+from mountladder.forwarding.placementcoordinator import PlacementCoordinator
 from mountladder.forwarding.placementnote import PlacementNote
 from mountladder.forwarding.placementorder import PlacementOrder
 from mountladder.forwarding.prompt import Prompt
@@ -249,9 +249,9 @@
 
 @when("a request of a team with priority {team} is sent on the route with priority {route:d}")
 def of_team(context, team, route):
-    holder = context.catalogue.keys.get(f"k{team}")
+    caller = context.catalogue.keys.get(f"k{team}")
     found = context.catalogue.match("x", f"/{route}/1")
-    context.rank = context.catalogue.urgency(holder, found)
+    context.rank = context.catalogue.urgency(caller, found)
 
 
 @then("its rank is {rank:d}")
@@ -364,7 +364,9 @@
     servers = (server("llm-1", "a"), server("llm-2", "b"))
     directory = SimpleNamespace(available=lambda service: servers)
     follower = SimpleNamespace(service=catalogue.services.get)
-    context.desk = PlacementDesk(directory, router(clock), clock, follower, AllWarm(), NoLimits())
+    context.desk = PlacementCoordinator(
+        directory, router(clock), clock, follower, AllWarm(), NoLimits()
+    )
     context.desk.placement.speed.tokens_per_ms = speed
 
 
@@ -440,7 +442,7 @@
         parts = (PromptPart(f"part {n}", 2_000), PromptPart(f"own {n}", 1_000))
         order = PlacementOrder(n, "planner", Prompt(3_000, 10, parts), (), "")
         context.desk.place(order, "me")
-        context.desk.note(PlacementNote(n, 3_000 / context.real, True), "me")
+        context.desk.apply_note(PlacementNote(n, 3_000 / context.real, True), "me")
 
 
 @then("the speed is known within {part:d} parts in a hundred")
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -17,9 +17,9 @@
 from mountladder.errors import RefusalError
 from mountladder.forwarding.backlog import GIVES_WAY
 from mountladder.forwarding.batchlimits import BatchLimits
+from mountladder.forwarding.callerteam import CallerTeam
 from mountladder.forwarding.catalogue import Catalogue
 from mountladder.forwarding.jobprogress import JobProgress
-from mountladder.forwarding.keyholder import KeyHolder
 from mountladder.forwarding.piecequeue import PieceQueue
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.promptpart import PromptPart
@@ -47,14 +47,14 @@
 @given("a kind of request with an aim of {aim:d} ms and a deadline of {deadline:d} ms")
 def kind(context, aim, deadline):
     plain = route("deck", "/deck/", RouteKind.STREAM, "llm", prompts=True, stages=STAGES)
-    context.route = replace(plain, aim_ms=float(aim), timeout_ms=float(deadline))
+    context.route = replace(plain, target_ms=float(aim), timeout_ms=float(deadline))
     context.deadline_ms = float(deadline)
     services = {
         "llm": Service("llm", 100, 64, 10_000_000),
         "enc": Service("enc", 100, batch=BATCH),
     }
     routes = {context.route.host: (context.route,)}
-    context.catalogue = Catalogue(1, routes, services, {"k": KeyHolder("desk")}, True)
+    context.catalogue = Catalogue(1, routes, services, {"k": CallerTeam("desk")}, True)
 
 
 @given("prompts of {mean:d} tokens on the average, the largest tenth over {large:d}")
@@ -132,7 +132,7 @@
     def log(run, event, **fields):
         plain(run, event, **fields)
         if event == "first-event":
-            context.on_time += run.age_ms + run.elapsed() <= run.route.aim_ms
+            context.on_time += run.age_ms + run.elapsed_ms() <= run.route.target_ms
 
     return log
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -111,7 +111,7 @@
 @given('a backend server that answers "{name}", of which {number:d} connections may be kept')
 def backend_part(context, name, number):
     backend(context, name)
-    context.upstream.part_of_connections = lambda server: number
+    context.upstream.connection_share = lambda server: number
 
 
 @when("{number:d} requests are sent to it at once")
@@ -154,8 +154,8 @@
         team,
         now + 5_000.0,
         inputs,
-        reusable=reusable,
-        heard=lambda server, notices, sent_at: heard(notices),
+        may_reuse_connection=reusable,
+        on_notices=lambda server, notices, sent_at: heard(notices),
     )
 
 
@@ -353,7 +353,7 @@
     assert [(one.service, one.weight) for one in stream.targets] == [("s", 9.0), ("t", 1.0)]
     assert [(one.after, one.result_bytes) for one in stream.stages] == [((), 5.0), ((0,), 6.0)]
     assert stream.repeatable and stream.public and stream.last_stages() == (1,)
-    assert (safe.aim_ms, safe.most_attempts, safe.priority) == (200.0, 2, 2)
+    assert (safe.target_ms, safe.max_attempts, safe.priority) == (200.0, 2, 2)
     assert found.services["t"].batch.kept_ms == 4_000.0
     assert found.services["s"].slots == 64
     assert found.keys["k2"].team == "team" and found.keys["k2"].priority == 1
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -64,7 +64,7 @@
 def attempts_allowed(context, number):
     plain = catalogue(2)
     routes = {
-        host: tuple(replace(one, most_attempts=number) for one in routes)
+        host: tuple(replace(one, max_attempts=number) for one in routes)
         for host, routes in plain.routes.items()
     }
     context.fleet.configure(replace(plain, routes=routes))
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -177,7 +177,7 @@
     forwarder = context.fleet.instances["a-1"].forwarder
     run = forwarder.admit(context.sent)
     assert isinstance(run, ForwardRun)
-    assert run.comes_back
+    assert run.is_returning
     assert run.urgency == run.route.priority == 1
 
 
--- a/features/steps/serverlimit_steps.py
+++ b/features/steps/serverlimit_steps.py
@@ -25,13 +25,13 @@
     watch,
 )
 
-from mountladder.forwarding.keyholder import KeyHolder
+from mountladder.forwarding.callerteam import CallerTeam
 from mountladder.forwarding.placementorder import PlacementOrder
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.promptpart import PromptPart
 from mountladder.forwarding.prompttransfer import PromptTransfer
 from mountladder.forwarding.ranking import prompts_topic
-from mountladder.forwarding.serverpicker import NO_PROMPT
+from mountladder.forwarding.serverpicker import EMPTY_PROMPT
 from mountladder.forwarding.serverrecord import ID_LABEL, listed_server
 from mountladder.metrics.memorymetrics import MemoryMetrics
 from mountladder.notices.leaving import Leaving
@@ -320,7 +320,7 @@
 def two_ranks(context, service, per_s, rate, other, kind, ms):
     for server in of_service(context, service):
         name_limit(context, server, per_s)
-    holders = {"k": KeyHolder("desk", 0), "low": KeyHolder("low", 1)}
+    holders = {"k": CallerTeam("desk", 0), "low": CallerTeam("low", 1)}
     newer = replace(catalogue(3), keys=holders, team_levels=(0, 1), route_span=2)
     context.fleet.configure(newer)
     context.run(context.clock.sleep, 300.0)
@@ -402,7 +402,7 @@
 def reaches_none(context):
     assert not [id_ for id_ in context.fleet.upstream.arrivals if id_.endswith("/waiting")]
     assert not any(state.running for state in context.instance.router.states.values())
-    assert not context.instance.forwarder.context.picker.placer.homes
+    assert not context.instance.forwarder.context.picker.placer.placed_by
 
 
 @when("the server is drained at which a request waits for its turn")
@@ -603,7 +603,7 @@
 
     def ask():
         for n in range(100):
-            order = PlacementOrder(n, "desk", NO_PROMPT, (), "", float(patience))
+            order = PlacementOrder(n, "desk", EMPTY_PROMPT, (), "", float(patience))
             servers = desk.directory.available("desk")
             waits_ms = desk.limits.waits_ms(servers, prompts_topic("desk"))
             reply = desk.place(order, "a peer")
@@ -629,7 +629,7 @@
         picker.limits.wait_ms(instance.directory.find(server), prompts_topic("desk"))
     context.run(context.clock.sleep, float(ms))
     now = context.clock.now()
-    picker.tried["desk"] = now
+    picker.probed_at["desk"] = now
     for server in instance.directory.available("desk"):
         if server.name not in context.named:
             instance.router.state(server).count(calls, now)
@@ -654,7 +654,7 @@
 def to_try(context, kind, patience):
     instance = meeting(context, prompts_topic("desk"))
     picker = instance.forwarder.context.picker
-    picker.tried.clear()
+    picker.probed_at.clear()
     sent = request("x", PATHS[kind], context.clock.now())
     wish = ServerWish(patience_ms=float(patience))
     context.chosen = context.run(picker.pick, sent, "desk", 2_000.0, wish)
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -15,8 +15,8 @@
 from mountladder.clocks.systemclock import SystemClock
 from mountladder.errors import MountladderError, WaitTimeoutError
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
-from mountladder.forwarding.departure import Departure
 from mountladder.forwarding.forwarder import Forwarder
+from mountladder.forwarding.shutdown import Shutdown
 from mountladder.metrics.memorymetrics import MemoryMetrics
 
 
@@ -96,8 +96,8 @@
     follower = CatalogueFollower(lambda encoded: catalogue(1), context.clock)
     follower.adopt(b"1", "store")
     follower.confirm(context.clock.now())
-    departure = Departure(context.clock, lambda: 8_000.0)
-    shared = SimpleNamespace(follower=follower, departure=departure, metrics=MemoryMetrics())
+    shutdown = Shutdown(context.clock, lambda: 8_000.0)
+    shared = SimpleNamespace(follower=follower, shutdown=shutdown, metrics=MemoryMetrics())
     context.follower, context.forwarder = follower, Forwarder(shared)
 
 
--- a/packages/core/src/mountladder/forwarding/keyholder.py
+++ b/packages/core/src/mountladder/forwarding/callerteam.py
@@ -1,4 +1,4 @@
-# keyholder.py -- The team that an API key belongs to
+# callerteam.py -- The team that an API key belongs to
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyHolder:
+class CallerTeam:
     """The team that an API key belongs to.
 
     Attributes:
--- a/packages/core/src/mountladder/forwarding/catalogue.py
+++ b/packages/core/src/mountladder/forwarding/catalogue.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from mountladder.forwarding.callerlimits import CallerLimits
-from mountladder.forwarding.keyholder import KeyHolder
+from mountladder.forwarding.callerteam import CallerTeam
 from mountladder.forwarding.route import Route
 from mountladder.forwarding.service import Service
 
@@ -33,19 +33,19 @@
     version: int
     routes: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
     services: Mapping[str, Service] = field(default_factory=dict)
-    keys: Mapping[str, KeyHolder] = field(default_factory=dict)
+    keys: Mapping[str, CallerTeam] = field(default_factory=dict)
     guarded: bool = False
     limits: CallerLimits = CallerLimits()
     team_levels: tuple[int, ...] = ()
     route_span: int = 0
 
-    def urgency(self, holder: KeyHolder | None, route: Route) -> int:
+    def urgency(self, caller: CallerTeam | None, route: Route) -> int:
         """Return the rank of a request, 0 first.
 
         A team's priority goes before the route's: all of a more urgent team come first, and among
         those of equally urgent teams the route decides.
         """
-        team = holder.priority if holder is not None else None
+        team = caller.priority if caller is not None else None
         above = sum(level < team for level in self.team_levels) if team is not None else 0
         return above * self.route_span + route.priority
 
--- a/packages/core/src/mountladder/forwarding/coldservers.py
+++ b/packages/core/src/mountladder/forwarding/coldservers.py
@@ -21,7 +21,7 @@
 
 SECOND_MS = 1_000.0
 # Returned where no limit applies.
-MANY = 2**31
+UNLIMITED = 2**31
 
 
 class ColdServers:
@@ -41,7 +41,7 @@
         clock: The clock.
 
     Attributes:
-        sendings: Times of the requests sent to each cold server within the last second, by server
+        sent_at: Times of the requests sent to each cold server within the last second, by server
             name.
     """
 
@@ -56,7 +56,7 @@
         self.follower = follower
         self.leadership = leadership
         self.clock = clock
-        self.sendings: dict[str, deque[float]] = {}
+        self.sent_at: dict[str, deque[float]] = {}
 
     def is_cold(self, server: BackendServer) -> bool:
         """Return whether a server reported to be cold, or may be after its data centre's return."""
@@ -100,10 +100,10 @@
         """
         rate = self.rate(server) if self.is_cold(server) else 0.0
         if not rate:
-            return MANY
-        return self.left(server, rate) if self.leadership.leads(topic) else 0
+            return UNLIMITED
+        return self.remaining(server, rate) if self.leadership.leads(topic) else 0
 
-    def spent(
+    def exhausted(
         self, servers: Iterable[BackendServer], cold: frozenset[str], topic: str
     ) -> frozenset[str]:
         """Return the names of the cold servers to which this instance may send nothing more now.
@@ -115,7 +115,7 @@
         """
         limited = [one for one in servers if one.name in cold and self.rate(one)] if cold else []
         if limited and self.leadership.leads(topic):
-            limited = [one for one in limited if not self.left(one, self.rate(one))]
+            limited = [one for one in limited if not self.remaining(one, self.rate(one))]
         return frozenset(one.name for one in limited)
 
     def rate(self, server: BackendServer) -> float:
@@ -123,30 +123,30 @@
         service = self.follower.service(server.labels[SERVICE_LABEL])
         return service.cold_per_s if service is not None else 0.0
 
-    def left(self, server: BackendServer, rate: float) -> int:
+    def remaining(self, server: BackendServer, rate: float) -> int:
         """Return how many more requests may be sent to a cold server within this second."""
-        return max(0, max(1, math.floor(rate)) - len(self.lately(server)))
+        return max(0, max(1, math.floor(rate)) - len(self.recent_sends(server)))
 
-    def lately(self, server: BackendServer) -> deque[float]:
+    def recent_sends(self, server: BackendServer) -> deque[float]:
         """Return the times of the requests sent to a cold server within the last second."""
-        sendings = self.sendings.setdefault(server.name, deque())
+        times = self.sent_at.setdefault(server.name, deque())
         oldest = self.clock.now() - SECOND_MS
-        while sendings and sendings[0] <= oldest:
-            sendings.popleft()
-        return sendings
+        while times and times[0] <= oldest:
+            times.popleft()
+        return times
 
-    def sent(self, server: BackendServer, requests: int = 1) -> None:
+    def record_sent(self, server: BackendServer, requests: int = 1) -> None:
         """Record requests that are sent to a server, if it is cold."""
         if not self.is_cold(server):
-            self.sendings.pop(server.name, None)
+            self.sent_at.pop(server.name, None)
             return
-        sendings = self.lately(server)
-        sendings.extend([self.clock.now()] * requests)
+        times = self.recent_sends(server)
+        times.extend([self.clock.now()] * requests)
         log_message(
             "cold-server-sent",
             server=server.name,
             requests=requests,
-            in_second=len(sendings),
+            in_second=len(times),
             cold_for_ms=self.cold_for_ms(server),
         )
 
--- a/packages/core/src/mountladder/forwarding/connectionshare.py
+++ b/packages/core/src/mountladder/forwarding/connectionshare.py
@@ -30,6 +30,6 @@
         Half of the connections that a server accepts stay free for calls from any instance.
         """
         service = self.follower.service(server.labels[SERVICE_LABEL])
-        if service is None or not service.most_connections:
+        if service is None or not service.max_connections:
             return None
-        return max(1, service.most_connections // (2 * self.membership.sharing()))
+        return max(1, service.max_connections // (2 * self.membership.sharing()))
--- a/packages/core/src/mountladder/forwarding/eventsplitter.py
+++ b/packages/core/src/mountladder/forwarding/eventsplitter.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-MOST_EVENT_BYTES = 1 << 20
-_END = b"\n\n"
+MAX_EVENT_BYTES = 1 << 20
+_EVENT_END = b"\n\n"
 
 
 class EventSplitter:
@@ -15,13 +15,13 @@
 
     Attributes:
         last_id: The id of the last complete event, or an empty string.
-        rest: The bytes of the event that is still incomplete.
+        incomplete: The bytes of the event that is still incomplete.
         events: The number of complete events so far.
     """
 
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
-        self.rest = b""
+        self.incomplete = b""
         self.events = 0
 
     def feed(self, data: bytes) -> bytes:
@@ -30,21 +30,21 @@
         Raises:
             ValueError: An event is longer than the maximum size.
         """
-        data = self.rest + data
-        end = data.rfind(_END)
+        data = self.incomplete + data
+        end = data.rfind(_EVENT_END)
         if end < 0:
-            if len(data) > MOST_EVENT_BYTES:
-                raise ValueError(f"an event is longer than {MOST_EVENT_BYTES} bytes")
-            self.rest = data
+            if len(data) > MAX_EVENT_BYTES:
+                raise ValueError(f"an event is longer than {MAX_EVENT_BYTES} bytes")
+            self.incomplete = data
             return b""
-        whole, self.rest = data[: end + len(_END)], data[end + len(_END) :]
-        self.read_ids(whole)
-        return whole
+        complete, self.incomplete = data[: end + len(_EVENT_END)], data[end + len(_EVENT_END) :]
+        self.read_ids(complete)
+        return complete
 
-    def read_ids(self, whole: bytes) -> None:
+    def read_ids(self, complete: bytes) -> None:
         """Count complete events and store the last event id."""
-        self.events += whole.count(_END)
-        for line in reversed(whole.split(b"\n")):
+        self.events += complete.count(_EVENT_END)
+        for line in reversed(complete.split(b"\n")):
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip().decode("latin-1")
                 return
--- a/packages/core/src/mountladder/forwarding/finishtime.py
+++ b/packages/core/src/mountladder/forwarding/firsteventtime.py
@@ -1,4 +1,4 @@
-# finishtime.py -- Estimated time of a model server to its first event
+# firsteventtime.py -- Estimated time of a model server to its first event
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,14 +10,14 @@
 from mountladder.routing.readingspeed import FIRST_TOKENS_PER_MS
 
 # For fetching stage results and waiting for the batch step that is running.
-LEAST_MS = 100.0
+MIN_MS = 100.0
 # Most of a prompt is cached, but the server processes other prompts at the same time. Only an
 # initial estimate: each route learns the ratio of measured to estimated times
 # (StageForecast.factors).
-READ_PART = 0.6
+PREFILL_FRACTION = 0.6
 
 
-def finish_ms(prompt: Prompt | None) -> float:
+def first_event_ms(prompt: Prompt | None) -> float:
     """Return the expected time from the last stage to the first event, in milliseconds."""
     tokens = prompt.tokens if prompt is not None else 0
-    return LEAST_MS + READ_PART * tokens / FIRST_TOKENS_PER_MS
+    return MIN_MS + PREFILL_FRACTION * tokens / FIRST_TOKENS_PER_MS
--- a/packages/core/src/mountladder/forwarding/forwardattempt.py
+++ b/packages/core/src/mountladder/forwarding/forwardattempt.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from mountladder.forwarding.picked import Picked
+from mountladder.forwarding.pickedserver import PickedServer
 from mountladder.routing.choice import Choice
 
 
@@ -22,7 +22,7 @@
         number: The number of the attempt, from 1.
     """
 
-    picked: Picked
+    picked: PickedServer
     started: float
     number: int
 
--- a/packages/core/src/mountladder/forwarding/forwardcall.py
+++ b/packages/core/src/mountladder/forwarding/forwardcall.py
@@ -22,10 +22,10 @@
         team: The team that sent it, or an empty string.
         deadline: When the answer must be complete, in the clock's milliseconds.
         inputs: Handles of the stage results that the request needs.
-        after_event: The id of the last event that the caller has, or an empty string.
-        reusable: Whether it may be sent on an idle connection that was kept open.
+        last_event_id: The id of the last event that the caller has, or an empty string.
+        may_reuse_connection: Whether it may be sent on an idle connection that was kept open.
         source: The address of the server to fetch cached prompt parts from, or an empty string.
-        heard: Called with the server, the notices in its answer and the time of the request.
+        on_notices: Called with the server, the notices in its answer and the time of the request.
         connected: Called when the connection is open, before the request is written.
     """
 
@@ -33,8 +33,8 @@
     team: str
     deadline: float
     inputs: tuple[str, ...] = ()
-    after_event: str = ""
-    reusable: bool = True
+    last_event_id: str = ""
+    may_reuse_connection: bool = True
     source: str = ""
-    heard: Heard = lambda server, notices, sent_at: None
+    on_notices: Heard = lambda server, notices, sent_at: None
     connected: Callable[[], None] = lambda: None
--- a/packages/core/src/mountladder/forwarding/forwardcontext.py
+++ b/packages/core/src/mountladder/forwarding/forwardcontext.py
@@ -12,9 +12,9 @@
 
 from mountladder.clocks.clock import Clock
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
-from mountladder.forwarding.departure import Departure
 from mountladder.forwarding.fetchtime import FetchTime
 from mountladder.forwarding.serverpicker import ServerPicker
+from mountladder.forwarding.shutdown import Shutdown
 from mountladder.forwarding.stagedispatch import StageDispatch
 from mountladder.forwarding.stageforecast import StageForecast
 from mountladder.forwarding.upstream import Upstream
@@ -38,7 +38,7 @@
         forecast: Refuses requests whose stages cannot be done in time.
         budget: Returns the retry budget of a service.
         metrics: Receives metrics.
-        departure: Tracks the shutdown of the instance.
+        shutdown: Tracks the shutdown of the instance.
         fetch_time: Estimates when servers have fetched stage results.
         quarantine: Tracks requests during which servers crash.
         notices: Applies the notices that servers send with their answers.
@@ -53,7 +53,7 @@
     forecast: StageForecast
     budget: Callable[[str], WindowBudget]
     metrics: Metrics
-    departure: Departure
+    shutdown: Shutdown
     fetch_time: FetchTime
     quarantine: QuarantineService
     notices: NoticeBoard
--- a/packages/core/src/mountladder/forwarding/forwarder.py
+++ b/packages/core/src/mountladder/forwarding/forwarder.py
@@ -10,12 +10,12 @@
 
 from mountladder.code import Code
 from mountladder.errors import MountladderError, RefusalError
+from mountladder.forwarding.callerteam import CallerTeam
 from mountladder.forwarding.catalogue import Catalogue
 from mountladder.forwarding.forwardanswer import ForwardAnswer
 from mountladder.forwarding.forwardcontext import ForwardContext
 from mountladder.forwarding.forwardrequest import ForwardRequest
 from mountladder.forwarding.forwardrun import ForwardRun
-from mountladder.forwarding.keyholder import KeyHolder
 from mountladder.forwarding.route import Route
 from mountladder.forwarding.routekind import RouteKind
 from mountladder.forwarding.streamrun import StreamRun
@@ -49,7 +49,7 @@
         try:
             run = self.admit(request)
         except MountladderError as error:
-            self.refused(request, error)
+            self.record_refusal(request, error)
             raise
         return run.answer()
 
@@ -65,11 +65,11 @@
             raise RefusalError("", Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         route = catalogue.match(request.host, request.path)
         if route is None:
-            raise self.unknown(Code.UNKNOWN_ROUTE)
-        holder = self.holder(request, route, catalogue)
-        self.context.departure.check(route)
-        kind = StreamRun if route.kind is RouteKind.STREAM else WholeRun
-        run = kind(request, route, holder, self.context)
+            raise self.unknown_refusal(Code.UNKNOWN_ROUTE)
+        caller = self.find_caller(request, route, catalogue)
+        self.context.shutdown.check(route)
+        run_class = StreamRun if route.kind is RouteKind.STREAM else WholeRun
+        run = run_class(request, route, caller, self.context)
         run.log(
             "received",
             team=run.team,
@@ -79,11 +79,11 @@
             allowed_ms=round(request.allowed_ms),
             pieces=request.pieces,
             tokens=request.prompt.tokens if request.prompt else 0,
-            most_output=request.prompt.most_output if request.prompt else 0,
+            most_output=request.prompt.max_output if request.prompt else 0,
             urgency=run.urgency,
             route_priority=route.priority,
-            aim_ms=round(route.aim_ms),
-            comes_back=run.comes_back,
+            aim_ms=round(route.target_ms),
+            comes_back=run.is_returning,
             fingerprint=run.case.fingerprint,
         )
         services = {stage.service for stage in route.stages}
@@ -92,16 +92,16 @@
             self.context.picker.check_servers(service)
         return run
 
-    def holder(
+    def find_caller(
         self, request: ForwardRequest, route: Route, catalogue: Catalogue
-    ) -> KeyHolder | None:
+    ) -> CallerTeam | None:
         """Return the team of a request's API key, or None without one on a public route."""
-        holder = catalogue.keys.get(request.key)
-        if holder is None and catalogue.guarded and not route.public:
-            raise self.unknown(Code.UNAUTHENTICATED)
-        return holder
+        caller = catalogue.keys.get(request.key)
+        if caller is None and catalogue.guarded and not route.public:
+            raise self.unknown_refusal(Code.UNAUTHENTICATED)
+        return caller
 
-    def unknown(self, code: Code) -> RefusalError:
+    def unknown_refusal(self, code: Code) -> RefusalError:
         """Return the refusal of an unknown route or key, which a newer catalogue may contain."""
         follower = self.context.follower
         if follower.age_ms() > STALE_MS and not follower.is_fed():
@@ -109,7 +109,7 @@
             return RefusalError(detail, Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         return RefusalError("", code)
 
-    def refused(self, request: ForwardRequest, error: MountladderError) -> None:
+    def record_refusal(self, request: ForwardRequest, error: MountladderError) -> None:
         """Count and log a request that was refused at admission."""
         self.context.metrics.count(Metric.REFUSED, error.code.name.lower())
         follower = self.context.follower
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -18,7 +18,6 @@
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
 from mountladder.forwarding.coldservers import ColdServers
 from mountladder.forwarding.connectionshare import ConnectionShare
-from mountladder.forwarding.departure import Departure
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.directorylisting import DirectoryListing
 from mountladder.forwarding.fetchtime import FetchTime
@@ -28,12 +27,13 @@
 from mountladder.forwarding.forwardingsettings import ForwardingSettings
 from mountladder.forwarding.leadership import Leadership
 from mountladder.forwarding.memberreader import MemberReader
-from mountladder.forwarding.placementdesk import PlacementDesk
+from mountladder.forwarding.placementcoordinator import PlacementCoordinator
 from mountladder.forwarding.platformtables import PlatformTables
 from mountladder.forwarding.promptplacer import PromptPlacer
 from mountladder.forwarding.readers import PULSE_MS
 from mountladder.forwarding.retrybudgets import RetryBudgets
 from mountladder.forwarding.serverpicker import ServerPicker
+from mountladder.forwarding.shutdown import Shutdown
 from mountladder.forwarding.source import Source
 from mountladder.forwarding.sourcefollower import SourceFollower
 from mountladder.forwarding.sourcepage import SourcePage
@@ -60,11 +60,11 @@
 # How often an instance that decides which data centres are unreachable checks them: a small
 # fraction of the silence after which one counts as unreachable. Other instances only check whether
 # the reports they received are outdated.
-WATCH_MS = 100.0
-WATCH_IDLE_MS = 600.0
+REACHABILITY_POLL_MS = 100.0
+REACHABILITY_IDLE_POLL_MS = 600.0
 # Assumed extra cost of a call to another data centre: 0.5 ms latency each way, the rest a penalty
 # for its price.
-SPILL_MS = 3.0
+CROSS_DATACENTRE_MS = 3.0
 
 
 class ForwardingInstance:
@@ -97,7 +97,7 @@
         self.metrics = metrics
         self.stack = ExitStack()
         self.rng = random.Random(seed)
-        self.departure = Departure(clock, lambda: self.settings.grace_ms)
+        self.shutdown = Shutdown(clock, lambda: self.settings.grace_ms)
         self.me = Instance(
             settings.name,
             uuid.uuid4().hex[:12],
@@ -126,23 +126,23 @@
             ExpectedCompletion(),
             metrics,
             self.settings.datacentre,
-            SPILL_MS,
+            CROSS_DATACENTRE_MS,
         )
         leadership = Leadership(self.fleet, clock)
         self.cold = ColdServers(self.directory, self.follower, leadership, clock)
         self.notices = NoticeBoard(self.fleet, self.directory, self.router, clock, metrics)
         self.limits = ServerLimits(self.notices.book, leadership, clock)
-        desk = PlacementDesk(
+        coordinator = PlacementCoordinator(
             self.directory, self.router, clock, self.follower, self.cold, self.limits
         )
-        placer = PromptPlacer(self.fleet, desk, clock)
+        placer = PromptPlacer(self.fleet, coordinator, clock)
         picker = ServerPicker(self.directory, self.router, placer, self.cold, self.limits)
         self.upstream = upstream
         self.connections = ConnectionShare(self.follower, self.membership)
-        upstream.part_of_connections = self.connections.of
+        upstream.connection_share = self.connections.of
         self.build_quarantine(upstream)
         self.dispatch = StageDispatch(self.fleet, self.make_batcher, clock)
-        self.directory.listeners.append(self.pump)
+        self.directory.listeners.append(self.pump_batchers)
         self.forwarder = Forwarder(self.make_context(picker))
         intake = StoreIntake(self.tables, self.follower, self.directory, self.fleet.eras, clock)
         self.catalogue_source = self.make_follower(
@@ -153,7 +153,7 @@
         )
         self.directory_source.on_regained = self.directory.regained
         self.member_reader = MemberReader(self.tables.instances, self.fleet, clock)
-        self.fleet.is_fed = self.is_answered
+        self.fleet.is_fed = self.follows_store
         self.follower.is_fed = self.is_fed
 
     def build_quarantine(self, upstream: Upstream) -> None:
@@ -168,11 +168,11 @@
         )
         self.directory.listeners.append(self.quarantine.ends.look)
         book, readers = self.quarantine.book, self.fleet.readers
-        book.on_server_ended = self.take_out
+        book.on_server_ended = self.disable_server
         self.bar_keeper = BarKeeper(self.tables.bars, book, readers, self.clock)
         self.fleet.eras.listeners.append(self.bar_keeper.write_again)
 
-    def take_out(self, name: str) -> None:
+    def disable_server(self, name: str) -> None:
         """Stop using a server that has crashed, whichever instance noticed it."""
         server = self.directory.find(name)
         if server is not None:
@@ -190,14 +190,14 @@
             forecast=StageForecast(self.dispatch, self.follower),
             budget=self.budgets.of,
             metrics=self.metrics,
-            departure=self.departure,
+            shutdown=self.shutdown,
             fetch_time=FetchTime(),
             quarantine=self.quarantine,
             notices=self.notices,
         )
 
     def make_follower(
-        self, name: str, source: Source, take: Callable[[SourcePage, bool], None]
+        self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]
     ) -> SourceFollower:
         """Return a follower of a table; it reads while this instance is to follow the store."""
         readers = self.fleet.readers
@@ -206,7 +206,7 @@
             source,
             self.clock,
             self.metrics,
-            take,
+            apply,
             self.settings.feed_ms,
             readers.is_due,
             readers.idle_ms,
@@ -232,7 +232,7 @@
             self.notices,
         )
 
-    def pump(self) -> None:
+    def pump_batchers(self) -> None:
         """Have every batcher send what the current servers can take."""
         for batcher in self.dispatch.batchers.values():
             batcher.pump()
@@ -243,17 +243,17 @@
         That needs a live peer, unless none is known, and an answering store, here or at a peer.
         """
         known = self.membership.addressed()
-        heard = not known or any(self.fleet.is_alive(one) for one in known)
-        return heard and (self.is_answered() or self.fleet.readers.has_fed_peer())
+        reachable = not known or any(self.fleet.is_alive(one) for one in known)
+        return reachable and (self.follows_store() or self.fleet.readers.has_fed_peer())
 
-    def is_answered(self) -> bool:
+    def follows_store(self) -> bool:
         """Return whether this instance follows the store and the store answers."""
         return self.catalogue_source.fed and self.directory_source.fed
 
     @property
     def leaving(self) -> bool:
         """Return whether the instance is shutting down."""
-        return self.departure.asked_at is not None
+        return self.shutdown.requested_at is not None
 
     @property
     def ready(self) -> bool:
@@ -268,8 +268,8 @@
             self.directory_source.run,
             self.member_reader.run,
             self.bar_keeper.run,
-            self.keep_telling,
-            self.keep_watching,
+            self.keep_announcing,
+            self.keep_checking_reachability,
             self.fleet.run,
         )
         tasks = [gevent.spawn(keep_running, loop, self.clock) for loop in loops]
@@ -277,23 +277,23 @@
         self.stack.callback(gevent.killall, tasks, block=False)
         self.stack.callback(self.upstream.close)
 
-    def keep_telling(self) -> None:
+    def keep_announcing(self) -> None:
         """Announce periodically, while it is so, that this instance follows the store."""
         while True:
             self.clock.sleep(PULSE_MS)
             if self.fleet.readers.reading:
                 self.fleet.pulse()
 
-    def keep_watching(self) -> None:
+    def keep_checking_reachability(self) -> None:
         """Poll which data centres are reachable, more often where this instance decides it."""
         while True:
-            judges = bool(self.fleet.contacts.other_places())
-            self.clock.sleep(WATCH_MS if judges else WATCH_IDLE_MS)
+            decides_here = bool(self.fleet.contacts.other_places())
+            self.clock.sleep(REACHABILITY_POLL_MS if decides_here else REACHABILITY_IDLE_POLL_MS)
             self.fleet.watch_datacentres()
 
     def leave(self) -> None:
         """Begin the shutdown and announce it to the load balancer and the peers."""
-        self.departure.begin()
+        self.shutdown.begin()
         self.fleet.leaving = self.fleet.ranking.leaving = True
         self.fleet.tell_all()
 
--- a/packages/core/src/mountladder/forwarding/forwardrequest.py
+++ b/packages/core/src/mountladder/forwarding/forwardrequest.py
@@ -31,7 +31,7 @@
         prompt: Its prompt, or None if it has none.
         pieces: The number of pieces of each stage.
         piece_key: Identifies the input of the first stages.
-        after_event: The id of the last event that the caller received of a stream to resume, or "".
+        last_event_id: The id of the last event received of a stream to resume, or "".
     """
 
     id: str
@@ -47,4 +47,4 @@
     prompt: Prompt | None = None
     pieces: tuple[int, ...] = ()
     piece_key: str = ""
-    after_event: str = ""
+    last_event_id: str = ""
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -12,21 +12,21 @@
 
 from mountladder.code import Code
 from mountladder.errors import MountladderError, RefusalError, RunError, StageError
+from mountladder.forwarding.callerteam import CallerTeam
 from mountladder.forwarding.forwardanswer import ForwardAnswer
 from mountladder.forwarding.forwardattempt import ForwardAttempt
 from mountladder.forwarding.forwardcall import ForwardCall
 from mountladder.forwarding.forwardcontext import ForwardContext
 from mountladder.forwarding.forwardrequest import ForwardRequest
-from mountladder.forwarding.keyholder import KeyHolder
-from mountladder.forwarding.repeats import told, why_not_again
+from mountladder.forwarding.reservation import Reservation
+from mountladder.forwarding.retryrules import caller_error, no_retry_error
 from mountladder.forwarding.route import Route
 from mountladder.forwarding.stageflow import StageFlow
-from mountladder.forwarding.turn import Turn
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
 from mountladder.metrics.metric import Metric
 
 # How often the stages are rerun after a result was lost, for example in a crash or a broken stream.
-MOST_FLOWS_LOST = 2
+MAX_STAGE_RERUNS = 2
 
 
 class ForwardRun:
@@ -35,50 +35,57 @@
     Args:
         request: The request.
         route: Its route.
-        holder: The team that sent it, or None on a public route.
+        caller: The team that sent it, or None on a public route.
         context: State shared by requests.
 
     Attributes:
+        service: The name of the service that the request is sent to.
         deadline: When the caller's or the route's timeout expires, in the clock's milliseconds.
         urgency: The priority of the request; 0 is the most urgent.
-        sendings: The number of attempts so far.
-        unreached: The number of attempts that could not connect to the server.
-        runs: The number of attempts in which a server may have executed it.
-        flows_lost: How often its stages were rerun because a result was lost.
+        attempts: The number of attempts so far.
+        connect_failures: The number of attempts that could not connect to the server.
+        possible_runs: The number of attempts in which a server may have executed it.
+        excluded: Names of the servers at which it failed.
+        flow: The current execution of its stages, or None.
+        site: The data centre that holds the results of its stages, or an empty string.
+        expected_ms: The expected time to its first event when it was admitted, or 0.
+        age_ms: How long ago the caller first tried, in milliseconds; see StageForecast.
+        is_returning: Whether the caller retries a request that was refused before.
+        stage_reruns: How often its stages were rerun because a result was lost.
         gives_way: Whether it cannot meet its latency target, so that its stages run after those of
             requests that can.
         cancel_release: Cancels the scheduled release of stage results.
         case: The quarantine's record of the request.
-        turn: Chooses servers and waits for a slot at those that limit their request rate.
+        reservation: Chooses servers and waits for a slot at those that limit their request rate.
     """
 
     def __init__(
         self,
         request: ForwardRequest,
         route: Route,
-        holder: KeyHolder | None,
+        caller: CallerTeam | None,
         context: ForwardContext,
     ) -> None:
         self.request = request
         self.route = route
-        self.holder = holder
+        self.caller = caller
         self.context = context
-        self.urgency = context.follower.catalogue.urgency(holder, route)
-        self.service = route.draw(context.rng)
+        self.urgency = context.follower.catalogue.urgency(caller, route)
+        self.service = route.draw_service(context.rng)
         self.deadline = request.arrived + min(request.allowed_ms, route.timeout_ms)
-        self.sendings = 0
-        self.runs = 0
-        self.unreached = 0
+        self.attempts = 0
+        self.possible_runs = 0
+        self.connect_failures = 0
         self.excluded: frozenset[str] = frozenset()
         self.flow: StageFlow | None = None
         self.site = ""
         self.expected_ms = 0.0
-        self.flows_lost = 0
+        self.stage_reruns = 0
         self.cancel_release: Callable[[], None] = lambda: None
         self.age_ms = context.forecast.age_ms(request, route) if route.stages else 0.0
-        self.comes_back = self.age_ms > 0.0
+        self.is_returning = self.age_ms > 0.0
         self.gives_way = False
-        self.turn = Turn(self)
+        self.reservation = Reservation(self)
         texts = (self.team, request.method, request.host, request.target)
         self.case = context.quarantine.case(request.id, texts, request.body)
         context.budget(self.service).earn()
@@ -86,21 +93,21 @@
     @property
     def team(self) -> str:
         """Return the name of the team, or an empty string."""
-        return self.holder.team if self.holder else ""
+        return self.caller.team if self.caller else ""
 
-    def left(self) -> float:
+    def remaining_ms(self) -> float:
         """Return the time until the deadline, in milliseconds."""
         return self.deadline - self.context.clock.now()
 
-    def elapsed(self) -> float:
+    def elapsed_ms(self) -> float:
         """Return the time since the request was received, in milliseconds."""
         return self.context.clock.now() - self.request.arrived
 
-    def make_inputs(self) -> tuple[str, ...]:
+    def run_stages(self) -> tuple[str, ...]:
         """Run the stages and return the handles of the results that the request needs."""
         if not self.route.stages:
             return ()
-        is_first = self.flow is None and self.sendings == 0
+        is_first = self.flow is None and self.attempts == 0
         if is_first:
             self.admit()
         self.flow = StageFlow(
@@ -110,19 +117,19 @@
             self.urgency,
             self.context.dispatch,
             self.context.clock,
-            self.promised_ms(),
+            self.answer_target_ms(),
             is_first,
             self.case.fingerprint,
         )
         try:
             inputs = self.flow.run()
         except RefusalError as error:
-            raise self.given_up(error) from error
+            raise self.late_refusal(error) from error
         except RunError as error:
-            if error.code is not Code.RESULT_GONE or not self.may_make_again():
+            if error.code is not Code.RESULT_GONE or not self.may_rerun_stages():
                 raise
-            self.log("stages-rerun", reason=error.detail, elapsed_ms=round(self.elapsed()))
-            return self.make_inputs()
+            self.log("stages-rerun", reason=error.detail, elapsed_ms=round(self.elapsed_ms()))
+            return self.run_stages()
         self.site = self.flow.site()
         self.log("stages-done", results=len(inputs))
         return inputs
@@ -132,51 +139,51 @@
         forecast = self.context.forecast
         expectation = forecast.admit(self.request, self.route, self.urgency, self.age_ms)
         self.expected_ms, self.gives_way = expectation.ms, expectation.gives_way
-        self.turn.book(expectation.stages_ms + expectation.waiting_ms)
+        self.reservation.reserve(expectation.stages_ms + expectation.waiting_ms)
 
-    def promised_ms(self) -> float:
+    def answer_target_ms(self) -> float:
         """Return the target time from arrival to the start of the answer, in milliseconds.
 
         A request that takes longer than the latency target even without load is scheduled by its
         expected time instead.
         """
-        return 0.0 if self.gives_way else max(self.route.aim_ms, self.expected_ms)
+        return 0.0 if self.gives_way else max(self.route.target_ms, self.expected_ms)
 
-    def may_make_again(self) -> bool:
+    def may_rerun_stages(self) -> bool:
         """Count a lost stage result and return whether the stages may be rerun."""
-        self.flows_lost += 1
-        return self.flows_lost <= MOST_FLOWS_LOST and self.left() > self.expected_ms
+        self.stage_reruns += 1
+        return self.stage_reruns <= MAX_STAGE_RERUNS and self.remaining_ms() > self.expected_ms
 
-    def given_up(self, error: RefusalError) -> RefusalError:
+    def late_refusal(self, error: RefusalError) -> RefusalError:
         """Return the refusal of a request whose stages did not start in time."""
         forecast = self.context.forecast
         if not self.gives_way:
-            forecast.learn(self.route, self.expected_ms, self.elapsed())
+            forecast.learn(self.route, self.expected_ms, self.elapsed_ms())
         expectation = forecast.expect(self.request, self.route, self.urgency, self.gives_way)
-        back_ms = forecast.back_ms(self.request, self.route, expectation.ms)
-        return RefusalError(error.detail, error.code, retry_after_ms=back_ms)
+        retry_after_ms = forecast.back_ms(self.request, self.route, expectation.ms)
+        return RefusalError(error.detail, error.code, retry_after_ms=retry_after_ms)
 
-    def begin(self) -> ForwardAttempt:
+    def start_attempt(self) -> ForwardAttempt:
         """Choose a server for the next attempt.
 
         Raises:
             MountladderError: No server is available.
         """
         try:
-            picked = self.turn.take()
+            picked = self.reservation.acquire()
         except RefusalError as error:
-            raise told(self, error) from error
-        self.sendings += 1
-        attempt = ForwardAttempt(picked, self.context.clock.now(), self.sendings)
+            raise caller_error(self, error) from error
+        self.attempts += 1
+        attempt = ForwardAttempt(picked, self.context.clock.now(), self.attempts)
         self.log(
             "sent",
             server=attempt.server,
-            sending=self.sendings,
+            attempt=self.attempts,
             reason=picked.choice.reason(),
-            prompt_from=picked.source,
-            reads=picked.read,
+            prefix_source=picked.source,
+            prefill_tokens=picked.prefill_tokens,
             tokens=self.request.prompt.tokens if self.request.prompt else 0,
-            left_ms=round(self.left()),
+            left_ms=round(self.remaining_ms()),
         )
         return attempt
 
@@ -184,7 +191,7 @@
         self,
         attempt: ForwardAttempt,
         inputs: tuple[str, ...],
-        after_event: str,
+        last_event_id: str,
         limit_ms: float,
         connected: Callable[[], None] = lambda: None,
     ) -> UpstreamAnswer:
@@ -194,10 +201,10 @@
             team=self.team,
             deadline=self.deadline,
             inputs=inputs,
-            after_event=after_event,
-            reusable=self.route.repeatable,
+            last_event_id=last_event_id,
+            may_reuse_connection=self.route.repeatable,
             source=attempt.picked.source,
-            heard=self.context.notices.hear,
+            on_notices=self.context.notices.hear,
             connected=connected,
         )
         return self.context.upstream.open(attempt.choice.state.server, call, limit_ms)
@@ -214,9 +221,9 @@
         )
         self.case.failed(attempt.choice.state.server, attempt.started, error)
         self.excluded |= {attempt.server}
-        self.runs += error.dispatched
-        self.unreached += error.code is Code.CONNECT_FAILED
-        problem = why_not_again(self, error)
+        self.possible_runs += error.dispatched
+        self.connect_failures += error.code is Code.CONNECT_FAILED
+        problem = no_retry_error(self, error)
         self.log(
             "attempt-failed",
             server=attempt.server,
@@ -230,24 +237,24 @@
             raise problem from error
         self.context.metrics.count(Metric.RETRIED, error.code.name.lower())
 
-    def has_begun(self) -> bool:
+    def may_have_run(self) -> bool:
         """Return whether the request or one of its stages may have been executed."""
-        return self.runs > 0 or (self.flow is not None and self.flow.begun)
+        return self.possible_runs > 0 or (self.flow is not None and self.flow.begun)
 
-    def succeeded(self, attempt: ForwardAttempt, load: int | None, goes_on: bool) -> None:
+    def succeeded(self, attempt: ForwardAttempt, load: int | None, streaming: bool) -> None:
         """Record an attempt that was answered; a stream continues after its first event."""
         elapsed_ms = self.context.clock.now() - attempt.started
         self.context.picker.succeeded(
-            attempt.picked, self.request, self.service, elapsed_ms, load, goes_on
+            attempt.picked, self.request, self.service, elapsed_ms, load, streaming
         )
 
     def finish(self, error: MountladderError | None = None, status: int = 0) -> None:
         """Release the results of stages and record the outcome of the request."""
         if self.flow is not None:
             self.flow.release()
-        self.turn.drop()
+        self.reservation.release()
         metrics = self.context.metrics
-        metrics.timing(Metric.REQUEST_MS, self.elapsed())
+        metrics.timing(Metric.REQUEST_MS, self.elapsed_ms())
         if error is None:
             metrics.count(Metric.ANSWERED)
         else:
@@ -257,9 +264,9 @@
             status=status or (error.code.status if error else 0),
             code=error.code.number if error else 0,
             reason=error.detail if error else "",
-            sendings=self.sendings,
-            runs=self.runs,
-            elapsed_ms=round(self.elapsed()),
+            attempts=self.attempts,
+            possible_runs=self.possible_runs,
+            elapsed_ms=round(self.elapsed_ms()),
         )
 
     def log(self, event: str, **fields: object) -> None:
--- a/packages/core/src/mountladder/forwarding/picked.py
+++ b/packages/core/src/mountladder/forwarding/pickedserver.py
@@ -1,4 +1,4 @@
-# picked.py -- A backend server picked for a request
+# pickedserver.py -- A backend server picked for a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -12,19 +12,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Picked:
+class PickedServer:
     """A backend server picked for a request.
 
     Attributes:
         choice: The routing decision.
-        placement: The number of the placement order, or 0 if the server was chosen without one.
+        placement_number: The number of the placement order, or 0 if there was none.
         source: The address of the server to fetch cached prompt parts from, or an empty string.
-        read: The number of prompt tokens that the server is expected to prefill.
+        prefill_tokens: The number of prompt tokens that the server is expected to prefill.
         ready_at: When a server that limits its request rate accepts the request.
     """
 
     choice: Choice
-    placement: int = 0
+    placement_number: int = 0
     source: str = ""
-    read: int = 0
+    prefill_tokens: int = 0
     ready_at: float = 0.0
--- a/packages/core/src/mountladder/forwarding/placedprompt.py
+++ b/packages/core/src/mountladder/forwarding/placedprompt.py
@@ -15,13 +15,13 @@
 
     Attributes:
         server: The name of the server.
-        read: The number of its tokens that the server has to prefill.
+        prefill_tokens: The number of its tokens that the server has to prefill.
         expected_ms: The expected time to the first event, in milliseconds.
-        tokens: The number of tokens queued for prefill up to this prompt's end, or 0 if cached
-            parts are fetched from another server.
+        queued_tokens: The number of tokens queued for prefill up to this prompt's end, or 0 if
+            cached parts are fetched from another server.
     """
 
     server: str
-    read: int
+    prefill_tokens: int
     expected_ms: float
-    tokens: int = 0
+    queued_tokens: int = 0
--- a/packages/core/src/mountladder/forwarding/placementdesk.py
+++ b/packages/core/src/mountladder/forwarding/placementcoordinator.py
@@ -1,4 +1,4 @@
-# placementdesk.py -- Placement of prompts on model servers for all instances
+# placementcoordinator.py -- Placement of prompts on model servers for all instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -20,7 +20,7 @@
 from mountladder.forwarding.placementorder import PlacementOrder
 from mountladder.forwarding.placementreply import PlacementReply
 from mountladder.forwarding.ranking import prompts_topic
-from mountladder.forwarding.turnedaway import TurnedAway
+from mountladder.forwarding.retryschedule import RetrySchedule
 from mountladder.routing.promptchoice import PromptChoice
 from mountladder.routing.promptplacement import PromptPlacement
 from mountladder.routing.restraints import Restraints
@@ -28,10 +28,10 @@
 from mountladder.serverlimits.serverlimits import ServerLimits
 
 # The owner id of this instance's own prompts; peers are identified by their link.
-HERE = 0
+LOCAL_OWNER = 0
 
 
-class PlacementDesk:
+class PlacementCoordinator:
     """Places the prompts of a service for all instances that have this one as coordinator.
 
     It knows which prompts every server is processing and which prompt parts it has cached. Other
@@ -47,8 +47,8 @@
 
     Attributes:
         placed: The prompts on servers, by owner and order number.
-        unread: Keys of the placed prompts whose prefill has not finished.
-        turned_away: Assigns retry times to rejected requests, by service.
+        prefilling: Keys of the placed prompts whose prefill has not finished.
+        retry_schedules: Assigns retry times to rejected requests, by service.
     """
 
     def __init__(
@@ -68,8 +68,8 @@
         self.limits = limits
         self.placement = PromptPlacement(clock, router)
         self.placed: dict[tuple[Hashable, int], PlacedPrompt] = {}
-        self.unread: set[tuple[Hashable, int]] = set()
-        self.turned_away: dict[str, TurnedAway] = {}
+        self.prefilling: set[tuple[Hashable, int]] = set()
+        self.retry_schedules: dict[str, RetrySchedule] = {}
 
     def place(self, order: PlacementOrder, owner: Hashable) -> PlacementReply:
         """Choose a server for a prompt and record the prompt as sent to it.
@@ -83,19 +83,19 @@
         restraints = Restraints(self.cold.cold(servers), self.limits.waits_ms(servers, topic))
         chosen = self.choose(order, servers, restraints, topic)
         if chosen is None:
-            return self.turn_away(order, servers, restraints)
+            return self.reject(order, servers, restraints)
         choice = chosen.choice
         server = choice.state.server.name
         plan = chosen.plan
         ahead = self.placement.reading[server]
         choice.state.breaker.begin()
-        self.cold.sent(choice.state.server)
+        self.cold.record_sent(choice.state.server)
         self.limits.sent(choice.state.server, topic)
         key = (owner, order.number)
         self.placed[key] = PlacedPrompt(
             server, plan.read, choice.unloaded_ms, 0 if plan.source else ahead + plan.read
         )
-        self.unread.add(key)
+        self.prefilling.add(key)
         self.placement.began(server, order.prompt, plan.read)
         wait_ms = restraints.waits_ms.get(server, 0.0)
         return PlacementReply(
@@ -110,19 +110,19 @@
         topic: str,
     ) -> PromptChoice | None:
         """Return the server chosen for a prompt, or None if none accepts it."""
-        if restraints.limit_all(servers) and self.gives_way(order):
+        if restraints.limit_all(servers) and self.must_yield(order):
             return None
-        wish = order.wish.without(self.cold.spent(servers, restraints.cold, topic))
+        wish = order.wish.without(self.cold.exhausted(servers, restraints.cold, topic))
         service = self.follower.service(order.service)
         transfer = service.transfer if service else None
         return self.placement.choose(servers, order.prompt, wish, transfer, restraints)
 
-    def gives_way(self, order: PlacementOrder) -> bool:
+    def must_yield(self, order: PlacementOrder) -> bool:
         """Return whether a request must leave limited capacity to more urgent ones."""
-        turned_away = self.turned_away.get(order.service)
-        return turned_away is not None and turned_away.gives_way(order.urgency, self.clock.now())
+        schedule = self.retry_schedules.get(order.service)
+        return schedule is not None and schedule.must_yield(order.urgency, self.clock.now())
 
-    def turn_away(
+    def reject(
         self,
         order: PlacementOrder,
         servers: Sequence[BackendServer],
@@ -132,27 +132,27 @@
         if not servers or not restraints.limit_all(servers):
             return PlacementReply(order.number, "", 0.0)
         topic = prompts_topic(order.service)
-        turned_away = self.turned_away.setdefault(order.service, TurnedAway())
+        schedule = self.retry_schedules.setdefault(order.service, RetrySchedule())
         wait_ms = min(restraints.waits_ms.values()) - order.patience_ms
         per_s = sum(self.limits.per_s(one, topic) for one in servers)
-        back_ms = turned_away.add(order.urgency, wait_ms, per_s, self.clock.now())
-        return PlacementReply(order.number, "", 0.0, wait_ms=back_ms)
+        retry_after_ms = schedule.add(order.urgency, wait_ms, per_s, self.clock.now())
+        return PlacementReply(order.number, "", 0.0, wait_ms=retry_after_ms)
 
-    def note(self, note: PlacementNote, owner: Hashable) -> None:
+    def apply_note(self, note: PlacementNote, owner: Hashable) -> None:
         """Apply a report on the progress of a placed prompt."""
         key = (owner, note.number)
         placed = self.placed.get(key)
         if placed is None:
             return
         if note.read_ms > 0 or note.ended:
-            self.take_read(key, placed, note.read_ms)
-        if note.gone and owner != HERE:
-            self.take_out(placed.server)
+            self.record_prefill(key, placed, note.read_ms)
+        if note.gone and owner != LOCAL_OWNER:
+            self.trip_breaker(placed.server)
         if note.ended:
             del self.placed[key]
             self.placement.ended(placed.server)
 
-    def take_out(self, server: str) -> None:
+    def trip_breaker(self, server: str) -> None:
         """Trip the circuit breaker of a server that an instance could not reach.
 
         An unreachable server has no prompts to process, so it would be chosen first, and one
@@ -167,14 +167,16 @@
                 "server-unreachable", server=server, reason="an instance could not connect to it"
             )
 
-    def take_read(self, key: tuple[Hashable, int], placed: PlacedPrompt, read_ms: float) -> None:
+    def record_prefill(
+        self, key: tuple[Hashable, int], placed: PlacedPrompt, read_ms: float
+    ) -> None:
         """Record that a server has prefilled a prompt, and how long that took."""
-        if key not in self.unread:
+        if key not in self.prefilling:
             return
-        self.unread.discard(key)
-        self.placement.read(placed.server, placed.read)
+        self.prefilling.discard(key)
+        self.placement.read(placed.server, placed.prefill_tokens)
         if read_ms > 0:
-            self.placement.speed.learn(placed.tokens, read_ms)
+            self.placement.speed.learn(placed.queued_tokens, read_ms)
         state = self.router.states.get(placed.server)
         if state is None:
             return
@@ -184,7 +186,7 @@
         else:
             state.breaker.abandon()
 
-    def drop(self, owner: Hashable) -> None:
+    def forget_owner(self, owner: Hashable) -> None:
         """Remove the prompts of an instance that is no longer reachable."""
         for key in [key for key in self.placed if key[0] == owner]:
-            self.note(PlacementNote(key[1], 0.0, True), owner)
+            self.apply_note(PlacementNote(key[1], 0.0, True), owner)
--- a/packages/core/src/mountladder/forwarding/prompt.py
+++ b/packages/core/src/mountladder/forwarding/prompt.py
@@ -17,10 +17,10 @@
 
     Attributes:
         tokens: The length of the prompt, in tokens.
-        most_output: The maximum number of tokens to generate.
+        max_output: The maximum number of tokens to generate.
         parts: Its parts in order; only the last one is specific to the request or its session.
     """
 
     tokens: int
-    most_output: int
+    max_output: int
     parts: tuple[PromptPart, ...]
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -14,7 +14,7 @@
 
 from mountladder.clocks.clock import Clock
 from mountladder.forwarding.fleet import Fleet
-from mountladder.forwarding.placementdesk import HERE, PlacementDesk
+from mountladder.forwarding.placementcoordinator import LOCAL_OWNER, PlacementCoordinator
 from mountladder.forwarding.placementnote import PlacementNote
 from mountladder.forwarding.placementorder import PlacementOrder
 from mountladder.forwarding.placementreply import PlacementReply
@@ -25,7 +25,7 @@
 
 # Timeout for the coordinator's reply, which usually takes 1 to 2 ms. Placing a prompt locally, with
 # less information, costs no more than this wait.
-REPLY_MS = 60.0
+REPLY_TIMEOUT_MS = 60.0
 
 
 class PromptPlacer:
@@ -33,54 +33,54 @@
 
     Args:
         fleet: Connects to the other instances.
-        desk: Places prompts on this instance.
+        coordinator: Places prompts on this instance.
         clock: The clock.
 
     Attributes:
         replies: Callbacks for outstanding orders, by order number.
-        homes: The link to the instance that placed a prompt, or None for this instance, by
+        placed_by: The link to the instance that placed a prompt, or None for this instance, by
             order number.
     """
 
-    def __init__(self, fleet: Fleet, desk: PlacementDesk, clock: Clock) -> None:
+    def __init__(self, fleet: Fleet, coordinator: PlacementCoordinator, clock: Clock) -> None:
         self.fleet = fleet
-        self.desk = desk
+        self.coordinator = coordinator
         self.clock = clock
         self.numbers = itertools.count(1)
         self.replies: dict[int, Callable[[PlacementReply], None]] = {}
-        self.homes: dict[int, Link | None] = {}
-        fleet.subscribe(PlacementOrder, self.take_order)
-        fleet.subscribe(PlacementReply, self.take_reply)
-        fleet.subscribe(PlacementNote, self.take_note)
-        fleet.peer_gone.append(lambda link: desk.drop(id(link)))
+        self.placed_by: dict[int, Link | None] = {}
+        fleet.subscribe(PlacementOrder, self.handle_order)
+        fleet.subscribe(PlacementReply, self.handle_reply)
+        fleet.subscribe(PlacementNote, self.handle_note)
+        fleet.peer_gone.append(lambda link: coordinator.forget_owner(id(link)))
 
     def place(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
         """Return the placement of a prompt; its number identifies the prompt until it ends."""
-        order = self.order(service, prompt, wish)
+        order = self.make_order(service, prompt, wish)
         link = self.fleet.home(prompts_topic(service))
         reply = self.ask(link, order) if link is not None else None
         if reply is None:
-            return self.decide(order)
+            return self.place_order(order)
         if reply.server:
-            self.homes[order.number] = link
+            self.placed_by[order.number] = link
         return reply
 
-    def place_here(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
+    def place_locally(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
         """Return a placement by what this instance alone knows; see place."""
-        return self.decide(self.order(service, prompt, wish))
+        return self.place_order(self.make_order(service, prompt, wish))
 
-    def order(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementOrder:
+    def make_order(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementOrder:
         """Return a new placement order; see place."""
         number, excluded = next(self.numbers), tuple(wish.excluded)
         return PlacementOrder(
             number, service, prompt, excluded, wish.site, wish.patience_ms, wish.urgency
         )
 
-    def decide(self, order: PlacementOrder) -> PlacementReply:
+    def place_order(self, order: PlacementOrder) -> PlacementReply:
         """Carry out a placement order on this instance."""
-        reply = self.desk.place(order, HERE)
+        reply = self.coordinator.place(order, LOCAL_OWNER)
         if reply.server:
-            self.homes[order.number] = None
+            self.placed_by[order.number] = None
         return reply
 
     def ask(self, link: Link, order: PlacementOrder) -> PlacementReply | None:
@@ -88,15 +88,15 @@
         answered = Event()
         replies: list[PlacementReply] = []
 
-        def take(reply: PlacementReply) -> None:
+        def receive(reply: PlacementReply) -> None:
             """Store the reply and wake the waiting request."""
             replies.append(reply)
             answered.set()
 
-        self.replies[order.number] = take
+        self.replies[order.number] = receive
         self.fleet.send_later(link, order)
         try:
-            self.clock.wait(answered, REPLY_MS)
+            self.clock.wait(answered, REPLY_TIMEOUT_MS)
         finally:
             self.replies.pop(order.number, None)
             if not replies:
@@ -104,33 +104,33 @@
                 # after the caller cancelled.
                 self.fleet.send_later(link, PlacementNote(order.number, 0.0, True))
         if not replies:
-            log_message("placement-unanswered", peer=link.peer.name, waited_ms=REPLY_MS)
+            log_message("placement-unanswered", peer=link.peer.name, waited_ms=REPLY_TIMEOUT_MS)
             return None
         return replies[0]
 
-    def note(
+    def report(
         self, number: int, read_ms: float = 0.0, ended: bool = False, gone: bool = False
     ) -> None:
         """Report the progress of a prompt to the instance that placed it."""
-        if number not in self.homes:
+        if number not in self.placed_by:
             return
-        link = self.homes.pop(number) if ended else self.homes[number]
+        link = self.placed_by.pop(number) if ended else self.placed_by[number]
         note = PlacementNote(number, read_ms, ended, gone)
         if link is None:
-            self.desk.note(note, HERE)
+            self.coordinator.apply_note(note, LOCAL_OWNER)
         else:
             self.fleet.send_later(link, note)
 
-    def take_order(self, order: PlacementOrder, link: Link) -> None:
+    def handle_order(self, order: PlacementOrder, link: Link) -> None:
         """Place a prompt for another instance and send the reply."""
-        self.fleet.send_later(link, self.desk.place(order, id(link)))
+        self.fleet.send_later(link, self.coordinator.place(order, id(link)))
 
-    def take_reply(self, reply: PlacementReply, link: Link) -> None:
+    def handle_reply(self, reply: PlacementReply, link: Link) -> None:
         """Pass a reply to the request that waits for it."""
-        take = self.replies.get(reply.number)
-        if take is not None:
-            take(reply)
+        receive = self.replies.get(reply.number)
+        if receive is not None:
+            receive(reply)
 
-    def take_note(self, note: PlacementNote, link: Link) -> None:
+    def handle_note(self, note: PlacementNote, link: Link) -> None:
         """Apply a progress report of another instance."""
-        self.desk.note(note, id(link))
+        self.coordinator.apply_note(note, id(link))
--- a/packages/core/src/mountladder/forwarding/turn.py
+++ b/packages/core/src/mountladder/forwarding/reservation.py
@@ -1,4 +1,4 @@
-# turn.py -- Reservation of a slot at a backend server for a request
+# reservation.py -- Reservation of a slot at a backend server for a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -9,36 +9,36 @@
 from typing import TYPE_CHECKING
 
 from mountladder.code import Code
-from mountladder.forwarding.finishtime import finish_ms
-from mountladder.forwarding.picked import Picked
+from mountladder.forwarding.firsteventtime import first_event_ms
+from mountladder.forwarding.pickedserver import PickedServer
 from mountladder.routing.serverwish import ServerWish
 
 if TYPE_CHECKING:
     from mountladder.forwarding.forwardrun import ForwardRun
 
 # The assumed duration of a request without a prompt, as a fraction of its latency target.
-OWN_PART = 0.5
+OWN_TIME_FRACTION = 0.5
 # After work was spent on its stages, a request may wait for this fraction of its remaining time.
-BEGUN_PART = 0.75
+BEGUN_WAIT_FRACTION = 0.75
 
 
-class Turn:
+class Reservation:
     """Chooses servers for a request and reserves a slot if all of them limit their request rate.
 
     Args:
         run: The execution of the request.
 
     Attributes:
-        booked: The server at which a slot is reserved, or None.
+        reserved: The server at which a slot is reserved, or None.
     """
 
     def __init__(self, run: ForwardRun) -> None:
         self.run = run
         self.picker = run.context.picker
         self.clock = run.context.clock
-        self.booked: Picked | None = None
+        self.reserved: PickedServer | None = None
 
-    def book(self, stages_ms: float) -> None:
+    def reserve(self, stages_ms: float) -> None:
         """Reserve a slot before any stage runs, if all servers limit their request rate.
 
         Args:
@@ -47,64 +47,66 @@
         Raises:
             RefusalError: The wait for a slot, or for the end of a back-off, would be too long.
         """
-        if self.picker.rest_ms(self.run.service) > max(stages_ms, self.patience_ms()):
-            raise self.picker.resting(self.run.service)
-        if self.picker.is_scarce(self.run.service):
-            self.booked = self.pick(max(stages_ms, self.patience_ms()))
+        if self.picker.backoff_ms(self.run.service) > max(stages_ms, self.max_wait_ms()):
+            raise self.picker.backoff_refusal(self.run.service)
+        if self.picker.all_limited(self.run.service):
+            self.reserved = self.pick(max(stages_ms, self.max_wait_ms()))
 
-    def take(self) -> Picked:
+    def acquire(self) -> PickedServer:
         """Choose a server, or use the reserved one, and wait until it accepts the request.
 
         Raises:
             RefusalError: No server is available, or none accepts the request in time.
         """
         while True:
-            self.run.case.admit(self.run.left())
-            self.wait_for_rest()
-            booked, self.booked = self.booked, None
-            picked = booked or self.pick(self.patience_ms())
+            self.run.case.admit(self.run.remaining_ms())
+            self.wait_for_backoff()
+            reserved, self.reserved = self.reserved, None
+            picked = reserved or self.pick(self.max_wait_ms())
             waited = self.wait_for(picked)
-            if not (booked or waited) or self.picker.is_open(picked, self.run.service):
+            if not (reserved or waited) or self.picker.still_accepts(picked, self.run.service):
                 return picked
-            self.give_back(picked)
+            self.cancel(picked)
 
-    def wait_for_rest(self) -> None:
+    def wait_for_backoff(self) -> None:
         """Wait while all servers ask this instance to back off.
 
         Raises:
             RefusalError: The back-off takes too long.
         """
-        while (rest_ms := self.picker.rest_ms(self.run.service)) > 0:
-            if rest_ms > self.patience_ms():
-                raise self.picker.resting(self.run.service)
-            self.run.log("backoff-wait", wait_ms=round(rest_ms))
-            self.clock.sleep(rest_ms)
+        while (backoff_ms := self.picker.backoff_ms(self.run.service)) > 0:
+            if backoff_ms > self.max_wait_ms():
+                raise self.picker.backoff_refusal(self.run.service)
+            self.run.log("backoff-wait", wait_ms=round(backoff_ms))
+            self.clock.sleep(backoff_ms)
 
-    def drop(self) -> None:
+    def release(self) -> None:
         """Cancel a reservation that was not used."""
-        if self.booked is not None:
-            self.give_back(self.booked)
-            self.booked = None
+        if self.reserved is not None:
+            self.cancel(self.reserved)
+            self.reserved = None
 
-    def pick(self, patience_ms: float) -> Picked:
+    def pick(self, max_wait_ms: float) -> PickedServer:
         """Choose a server; see ServerPicker."""
         run = self.run
-        wish = ServerWish(run.excluded, run.site, patience_ms, run.urgency)
-        return self.picker.pick(run.request, run.service, run.left(), wish)
+        wish = ServerWish(run.excluded, run.site, max_wait_ms, run.urgency)
+        return self.picker.pick(run.request, run.service, run.remaining_ms(), wish)
 
-    def patience_ms(self) -> float:
+    def max_wait_ms(self) -> float:
         """Return how long the request may wait for a slot, in milliseconds.
 
         That is as long as it can still meet its latency target, or longer once work was spent on
         its stages: then a late answer is better than an error.
         """
         run = self.run
-        aim_ms, prompt = run.route.aim_ms, run.request.prompt
-        own_ms = finish_ms(prompt) if prompt is not None else OWN_PART * aim_ms
-        wait_ms = aim_ms - own_ms - run.elapsed() - run.age_ms
-        return max(0.0, wait_ms, BEGUN_PART * run.left() if run.has_begun() else 0.0)
-
-    def wait_for(self, picked: Picked) -> bool:
+        target_ms, prompt = run.route.target_ms, run.request.prompt
+        own_ms = first_event_ms(prompt) if prompt is not None else OWN_TIME_FRACTION * target_ms
+        wait_ms = target_ms - own_ms - run.elapsed_ms() - run.age_ms
+        return max(
+            0.0, wait_ms, BEGUN_WAIT_FRACTION * run.remaining_ms() if run.may_have_run() else 0.0
+        )
+
+    def wait_for(self, picked: PickedServer) -> bool:
         """Wait until a server accepts the request; return whether a wait was needed."""
         wait_ms = picked.ready_at - self.clock.now()
         if wait_ms <= 0:
@@ -113,10 +115,10 @@
         try:
             self.clock.sleep(wait_ms)
         except BaseException:
-            self.give_back(picked)
+            self.cancel(picked)
             raise
         return True
 
-    def give_back(self, picked: Picked) -> None:
+    def cancel(self, picked: PickedServer) -> None:
         """Cancel the choice of a server to which the request is not sent."""
         self.picker.failed(picked, self.run.request, self.run.service, Code.CANCELLED, 0.0)
--- /dev/null
+++ b/packages/core/src/mountladder/forwarding/retryrules.py
@@ -0,0 +1,56 @@
+# retryrules.py -- Retry rules for forwarded requests
+# Copyright (C) 2026 The mountladder authors
+# SPDX-License-Identifier: Apache-2.0
+
+"""Decides whether a failed request is retried, and otherwise which error the caller gets."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from mountladder.code import Code
+from mountladder.errors import MountladderError, RefusalError, RunError, StageError
+
+if TYPE_CHECKING:
+    from mountladder.forwarding.forwardrun import ForwardRun
+
+# Maximum number of attempts that reached a server. Each retry also spends from the retry budget.
+MAX_REACHED_ATTEMPTS = 4
+# Maximum number of attempts that could not connect. With this many servers gone the caller gets an
+# error instead of a longer wait.
+MAX_CONNECT_FAILURES = 8
+# A retry with less time than this is unlikely to finish and would waste a server's work.
+MIN_REMAINING_MS = 30.0
+# When a caller may retry after all tried servers were full.
+FULL_RETRY_MS = 300.0
+# Codes of attempts that timed out.
+_TIMEOUT_CODES = frozenset({Code.STAGE_STALLED, Code.DEADLINE_PASSED})
+
+
+def no_retry_error(run: ForwardRun, error: StageError) -> MountladderError | None:
+    """Return the error for the caller if a failed request is not retried, or None if it is."""
+    if error.dispatched and not run.route.repeatable:
+        code = Code.DEADLINE_PASSED if error.code in _TIMEOUT_CODES else Code.OUTCOME_UNKNOWN
+        return RunError(error.detail, code)
+    if run.remaining_ms() < MIN_REMAINING_MS:
+        return caller_error(run, RunError("not enough time left for a retry", Code.DEADLINE_PASSED))
+    reached = run.attempts - run.connect_failures
+    exhausted = reached >= MAX_REACHED_ATTEMPTS or run.connect_failures >= MAX_CONNECT_FAILURES
+    if run.possible_runs >= run.route.max_attempts or exhausted:
+        return caller_error(run, RunError(error.detail, error.code))
+    was_reached = error.code is not Code.CONNECT_FAILED
+    if was_reached and not run.context.budget(run.service).spend():
+        return caller_error(run, RunError(error.detail, Code.RETRY_BUDGET_SPENT))
+    return None
+
+
+def caller_error(run: ForwardRun, error: MountladderError) -> MountladderError:
+    """Return an error as the caller gets it: a refusal only if nothing was executed."""
+    may_have_run = run.may_have_run()
+    if may_have_run and isinstance(error, RefusalError):
+        quarantined = error.code is Code.QUARANTINED
+        return RunError(error.detail, Code.SERVERS_ENDED if quarantined else None)
+    if may_have_run or isinstance(error, RefusalError):
+        return error
+    retry_after_ms = max(FULL_RETRY_MS, run.context.picker.backoff_ms(run.service))
+    return RefusalError(error.detail, Code.SERVERS_FULL, retry_after_ms=retry_after_ms)
--- a/packages/core/src/mountladder/forwarding/route.py
+++ b/packages/core/src/mountladder/forwarding/route.py
@@ -25,10 +25,10 @@
         kind: Whether requests are idempotent, and whether answers are streamed.
         targets: The services among which requests are distributed.
         timeout_ms: The maximum duration of a request, in milliseconds.
-        aim_ms: The latency target for the answer, or a stream's first event, in milliseconds.
+        target_ms: The latency target for the answer, or a stream's first event, in milliseconds.
         gap_ms: The longest pause between two events of a stream that is on time, in milliseconds.
         priority: The default priority of requests; 0 is the most urgent.
-        most_attempts: The maximum number of servers that may execute one request.
+        max_attempts: The maximum number of servers that may execute one request.
         stages: The stages that run before the request is sent to a server.
         public: Whether requests need no API key.
         resumable: Whether a broken stream may be resumed at another server.
@@ -41,10 +41,10 @@
     kind: RouteKind
     targets: tuple[Target, ...]
     timeout_ms: float
-    aim_ms: float
+    target_ms: float
     gap_ms: float
     priority: int
-    most_attempts: int
+    max_attempts: int
     stages: tuple[RouteStage, ...] = ()
     public: bool = False
     resumable: bool = False
@@ -57,7 +57,7 @@
             return self.resumable
         return self.kind is RouteKind.SAFE
 
-    def draw(self, rng: random.Random) -> str:
+    def draw_service(self, rng: random.Random) -> str:
         """Return a service for one request, drawn at random by the targets' weights."""
         if len(self.targets) == 1:
             return self.targets[0].service
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -18,7 +18,7 @@
 from mountladder.forwarding.coldservers import ColdServers
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.forwardrequest import ForwardRequest
-from mountladder.forwarding.picked import Picked
+from mountladder.forwarding.pickedserver import PickedServer
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.promptplacer import PromptPlacer
 from mountladder.routing.choice import Choice
@@ -30,14 +30,14 @@
 NO_SERVER_RETRY_MS = 1_000.0
 # Interval at which servers with a rate limit are probed, by all instances together, while others
 # have capacity. Only an answer of the server shows that its limit has ended.
-TRY_MS = 250.0
+LIMITED_PROBE_MS = 250.0
 # Placeholder for requests without a prompt that are placed through the service's coordinator.
-NO_PROMPT = Prompt(0, 0, ())
+EMPTY_PROMPT = Prompt(0, 0, ())
 # Callers that were refused during a back-off are spread over this fraction of the time in which
 # they were refused, so that at most three times the usual number, new callers included, arrive.
-RETURN_PART = 0.5
+RETURN_SPREAD_FRACTION = 0.5
 # Failures that concern the server itself, not the request.
-GONE = frozenset({Code.CONNECT_FAILED, Code.SERVER_REPLACED, Code.SERVER_REFUSED})
+SERVER_FAILURE_CODES = frozenset({Code.CONNECT_FAILED, Code.SERVER_REPLACED, Code.SERVER_REFUSED})
 
 
 class ServerPicker:
@@ -53,7 +53,7 @@
         limits: Tracks servers that limit their request rate.
 
     Attributes:
-        tried: When servers with a rate limit were last probed, by service.
+        probed_at: When servers with a rate limit were last probed, by service.
         stages: The keys under which the router keeps learned times, by service.
     """
 
@@ -70,12 +70,12 @@
         self.placer = placer
         self.cold = cold
         self.limits = limits
-        self.tried: dict[str, float] = {}
+        self.probed_at: dict[str, float] = {}
         self.stages: dict[str, Stage] = {}
 
     def pick(
         self, request: ForwardRequest, service: str, budget_ms: float, wish: ServerWish
-    ) -> Picked:
+    ) -> PickedServer:
         """Choose a server and record that the request is sent to it.
 
         Args:
@@ -89,24 +89,24 @@
         """
         if self.directory.is_cut_off(service):
             # Each failing connection attempt would cost the caller 300 ms.
-            raise self.none_available(service)
+            raise self.unavailable_refusal(service)
         if request.prompt is not None:
             return self.pick_for_prompt(request.prompt, service, wish)
         servers = self.directory.available(service)
-        free = self.free_of_limits(servers)
+        free = self.unlimited(servers)
         if len(free) == len(servers):
             return self.pick_among(free, request, service, budget_ms, wish)
         # The service's coordinator knows how much the other servers may still be sent.
         others = wish.without(one.name for one in free)
         if not free:
-            return self.pick_for_prompt(NO_PROMPT, service, others)
-        tried = self.try_limited(service, servers, free, others)
-        if tried is not None:
-            return tried
+            return self.pick_for_prompt(EMPTY_PROMPT, service, others)
+        probed = self.probe_limited(service, servers, free, others)
+        if probed is not None:
+            return probed
         try:
             return self.pick_among(free, request, service, budget_ms, wish)
         except RefusalError:
-            return self.pick_for_prompt(NO_PROMPT, service, others)
+            return self.pick_for_prompt(EMPTY_PROMPT, service, others)
 
     def pick_among(
         self,
@@ -115,67 +115,67 @@
         service: str,
         budget_ms: float,
         wish: ServerWish,
-    ) -> Picked:
+    ) -> PickedServer:
         """Choose among servers without a rate limit; see pick."""
         stage, length = self.stage(service), len(request.body)
         try:
-            return Picked(self.router.pick(servers, stage, length, budget_ms, wish.excluded))
+            return PickedServer(self.router.pick(servers, stage, length, budget_ms, wish.excluded))
         except StageError as error:
-            raise self.none_available(service) from error
+            raise self.unavailable_refusal(service) from error
 
-    def free_of_limits(self, servers: tuple[BackendServer, ...]) -> tuple[BackendServer, ...]:
+    def unlimited(self, servers: tuple[BackendServer, ...]) -> tuple[BackendServer, ...]:
         """Return the servers that are neither cold nor rate-limited."""
         warm = self.cold.warm(servers)
         limited = self.limits.limited(warm)
         return tuple(one for one in warm if one.name not in limited) if limited else warm
 
-    def try_limited(
+    def probe_limited(
         self,
         service: str,
         servers: tuple[BackendServer, ...],
         free: tuple[BackendServer, ...],
         others: ServerWish,
-    ) -> Picked | None:
+    ) -> PickedServer | None:
         """Use a rate-limited server if the others are overloaded, otherwise as a periodic probe.
 
         Only answers of limited servers show that a limit has ended. Cold servers are not used.
         """
         cold = self.cold.cold(servers)
-        if len(free) + len(cold) == len(servers) or not self.is_due(service, free):
+        if len(free) + len(cold) == len(servers) or not self.is_probe_due(service, free):
             return None
         try:
             wish = replace(others.without(cold), patience_ms=0.0)
-            return self.pick_for_prompt(NO_PROMPT, service, wish)
+            return self.pick_for_prompt(EMPTY_PROMPT, service, wish)
         except RefusalError:
             log_message("limited-servers-exhausted", service=service, free=len(free))
             return None
 
-    def is_due(self, service: str, free: tuple[BackendServer, ...]) -> bool:
+    def is_probe_due(self, service: str, free: tuple[BackendServer, ...]) -> bool:
         """Return whether rate-limited servers are to be used in addition to unlimited ones."""
         now = self.router.clock.now()
-        every_ms = TRY_MS * self.placer.fleet.membership.sharing()
-        due = now - self.tried.get(service, -every_ms) >= every_ms
+        every_ms = LIMITED_PROBE_MS * self.placer.fleet.membership.sharing()
+        due = now - self.probed_at.get(service, -every_ms) >= every_ms
         if not due and min(self.router.state(one).crowding(now) for one in free) <= ROOMY:
             return False
-        self.tried[service] = now
+        self.probed_at[service] = now
         return True
 
-    def is_scarce(self, service: str) -> bool:
+    def all_limited(self, service: str) -> bool:
         """Return whether all servers of a service limit their request rate."""
         servers = self.directory.available(service)
         return bool(servers) and len(self.limits.limited(servers)) == len(servers)
 
-    def is_open(self, picked: Picked, service: str) -> bool:
+    def still_accepts(self, picked: PickedServer, service: str) -> bool:
         """Return whether a request may still be sent to the server that was picked for it."""
         state = picked.choice.state
         names = {one.name for one in self.directory.available(service)}
         return state.server.name in names and state.rest_ms(self.router.clock.now()) <= 0
 
-    def rest_ms(self, service: str) -> float:
+    def backoff_ms(self, service: str) -> float:
         """Return how long all servers of a service still ask this instance to back off, or 0."""
         return self.router.rest_ms(self.directory.available(service))
 
-    def resting(self, service: str) -> RefusalError:
+    def backoff_refusal(self, service: str) -> RefusalError:
         """Return the refusal of a request while all servers of its service ask to back off.
 
         Retry times are spread over a fraction of the time in which callers were refused, so that
@@ -184,8 +184,8 @@
         now = self.router.clock.now()
         states = [self.router.state(one) for one in self.directory.available(service)]
         first = min(states, key=lambda one: one.rest_ms(now))
-        back_ms = first.rest_ms(now) + RETURN_PART * (now - first.rests_since)
-        return RefusalError("", Code.SERVERS_RESTING, retry_after_ms=back_ms)
+        retry_after_ms = first.rest_ms(now) + RETURN_SPREAD_FRACTION * (now - first.rests_since)
+        return RefusalError("", Code.SERVERS_RESTING, retry_after_ms=retry_after_ms)
 
     def check_servers(self, service: str) -> None:
         """Check that a service has a server that may be used.
@@ -194,9 +194,9 @@
             RefusalError: It has none.
         """
         if not self.directory.available(service):
-            raise self.none_available(service)
+            raise self.unavailable_refusal(service)
 
-    def none_available(self, service: str, wait_ms: float = 0.0) -> RefusalError:
+    def unavailable_refusal(self, service: str, wait_ms: float = 0.0) -> RefusalError:
         """Return the refusal of a request whose service has no available server.
 
         Args:
@@ -209,62 +209,67 @@
         code = Code.DATACENTRES_DRAINED if drained else Code.NO_SERVER_AVAILABLE
         return RefusalError("", code, retry_after_ms=NO_SERVER_RETRY_MS)
 
-    def pick_for_prompt(self, prompt: Prompt, service: str, wish: ServerWish) -> Picked:
+    def pick_for_prompt(self, prompt: Prompt, service: str, wish: ServerWish) -> PickedServer:
         """Choose a server through the service's coordinator; see pick."""
         servers = {one.name: one for one in self.directory.available(service)}
-        wish = wish.without(self.out_of_use(servers.values()))
+        wish = wish.without(self.unusable(servers.values()))
         reply = self.placer.place(service, prompt, wish)
         if reply.server and reply.server not in servers:
             # The coordinator has not learned yet that the server is no longer available.
             log_message("placement-outdated", service=service, server=reply.server)
-            self.placer.note(reply.number, ended=True)
-            reply = self.placer.place_here(service, prompt, wish)
+            self.placer.report(reply.number, ended=True)
+            reply = self.placer.place_locally(service, prompt, wish)
         server = servers.get(reply.server)
         if server is None:
-            raise self.none_available(service, reply.wait_ms)
+            raise self.unavailable_refusal(service, reply.wait_ms)
         now = self.router.clock.now()
         state = self.router.state(server)
         state.begin(now)
         expected_ms, compared = reply.expected_ms, len(servers) - len(wish.excluded)
         crowding = state.crowding(now)
         choice = Choice(state, expected_ms, expected_ms, crowding, len(servers), compared)
-        return Picked(choice, reply.number, reply.source, reply.read, now + reply.wait_ms)
+        return PickedServer(choice, reply.number, reply.source, reply.read, now + reply.wait_ms)
 
-    def out_of_use(self, servers: Iterable[BackendServer]) -> frozenset[str]:
+    def unusable(self, servers: Iterable[BackendServer]) -> frozenset[str]:
         """Return the names of the servers that this instance itself does not use at present."""
         now = self.router.clock.now()
         return frozenset(one.name for one in servers if not self.router.state(one).usable(now))
 
     def succeeded(
         self,
-        picked: Picked,
+        picked: PickedServer,
         request: ForwardRequest,
         service: str,
         elapsed_ms: float,
         load: int | None,
-        goes_on: bool,
+        streaming: bool,
     ) -> None:
         """Record a call that was answered; a stream continues after its first event."""
         stage, length = self.stage(service), len(request.body)
         self.router.succeeded(picked.choice, stage, length, elapsed_ms, load)
-        if goes_on:
+        if streaming:
             picked.choice.state.count(1, self.router.clock.now())
-            self.placer.note(picked.placement, read_ms=elapsed_ms)
+            self.placer.report(picked.placement_number, read_ms=elapsed_ms)
         else:
-            self.placer.note(picked.placement, ended=True)
+            self.placer.report(picked.placement_number, ended=True)
 
-    def finished(self, picked: Picked) -> None:
+    def finished(self, picked: PickedServer) -> None:
         """Record that a stream has ended."""
         picked.choice.state.end(self.router.clock.now())
-        self.placer.note(picked.placement, ended=True)
+        self.placer.report(picked.placement_number, ended=True)
 
     def failed(
-        self, picked: Picked, request: ForwardRequest, service: str, code: Code, elapsed_ms: float
+        self,
+        picked: PickedServer,
+        request: ForwardRequest,
+        service: str,
+        code: Code,
+        elapsed_ms: float,
     ) -> None:
         """Record a call that failed."""
         stage = self.stage(service)
         self.router.failed(picked.choice, code, elapsed_ms, stage, len(request.body))
-        self.placer.note(picked.placement, ended=True, gone=code in GONE)
+        self.placer.report(picked.placement_number, ended=True, gone=code in SERVER_FAILURE_CODES)
 
     def stage(self, service: str) -> Stage:
         """Return the key under which the router keeps the learned times of a service."""
--- a/packages/core/src/mountladder/forwarding/service.py
+++ b/packages/core/src/mountladder/forwarding/service.py
@@ -18,7 +18,7 @@
 
     Attributes:
         name: Its name.
-        most_connections: The number of connections that one server accepts from all instances, or 0
+        max_connections: The number of connections that one server accepts from all instances, or 0
             if not limited.
         slots: How many requests a model server runs in one batch, or 0 for other servers.
         kv_tokens: The cache capacity of a model server in tokens, or 0 for other servers.
@@ -29,7 +29,7 @@
     """
 
     name: str
-    most_connections: int
+    max_connections: int
     slots: int = 0
     kv_tokens: int = 0
     batch: BatchLimits | None = None
--- a/packages/core/src/mountladder/forwarding/departure.py
+++ b/packages/core/src/mountladder/forwarding/shutdown.py
@@ -1,4 +1,4 @@
-# departure.py -- Graceful shutdown of an instance
+# shutdown.py -- Graceful shutdown of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -18,12 +18,12 @@
 # requests on connections that are still open are refused if they might outlive the process.
 ACCEPT_MS = 2_500.0
 # The process exits this long before it would be killed, to close remaining connections cleanly.
-MARGIN_MS = 400.0
+EXIT_MARGIN_MS = 400.0
 # Callers may retry at another instance almost at once.
 RETRY_MS = 50.0
 
 
-class Departure:
+class Shutdown:
     """Tracks whether an instance is shutting down and which requests it still accepts.
 
     Args:
@@ -31,28 +31,28 @@
         grace_ms: Returns how long the shutdown may take, in milliseconds.
 
     Attributes:
-        asked_at: When the shutdown was requested, or None.
+        requested_at: When the shutdown was requested, or None.
     """
 
     def __init__(self, clock: Clock, grace_ms: Callable[[], float]) -> None:
         self.clock = clock
         self.grace_ms = grace_ms
-        self.asked_at: float | None = None
+        self.requested_at: float | None = None
 
     def begin(self) -> None:
         """Record the request to shut down."""
-        if self.asked_at is None:
-            self.asked_at = self.clock.now()
+        if self.requested_at is None:
+            self.requested_at = self.clock.now()
 
-    def waited_ms(self) -> float:
+    def elapsed_ms(self) -> float:
         """Return how long ago the shutdown was requested, in milliseconds, or 0 if it was not."""
-        return 0.0 if self.asked_at is None else self.clock.now() - self.asked_at
+        return 0.0 if self.requested_at is None else self.clock.now() - self.requested_at
 
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Return the time until the process must exit, in milliseconds; infinite if running."""
-        if self.asked_at is None:
+        if self.requested_at is None:
             return float("inf")
-        return self.grace_ms() - MARGIN_MS - self.waited_ms()
+        return self.grace_ms() - EXIT_MARGIN_MS - self.elapsed_ms()
 
     def check(self, route: Route) -> None:
         """Check that a request on a route is certain to finish before the process exits.
@@ -60,7 +60,7 @@
         Raises:
             RefusalError: The instance is shutting down and the request might not finish in time.
         """
-        if self.waited_ms() <= ACCEPT_MS:
+        if self.elapsed_ms() <= ACCEPT_MS:
             return
-        if route.kind is RouteKind.STREAM or route.timeout_ms > self.left_ms():
+        if route.kind is RouteKind.STREAM or route.timeout_ms > self.remaining_ms():
             raise RefusalError("", Code.SHUTTING_DOWN, retry_after_ms=RETRY_MS)
--- a/packages/core/src/mountladder/forwarding/stageflow.py
+++ b/packages/core/src/mountladder/forwarding/stageflow.py
@@ -14,7 +14,7 @@
 from mountladder.clocks.clock import Clock
 from mountladder.code import Code
 from mountladder.errors import RefusalError, RunError
-from mountladder.forwarding.finishtime import finish_ms
+from mountladder.forwarding.firsteventtime import first_event_ms
 from mountladder.forwarding.forwardrequest import ForwardRequest
 from mountladder.forwarding.jobprogress import Results
 from mountladder.forwarding.piecefailure import PieceFailure
@@ -77,10 +77,10 @@
         self.urgency = urgency
         self.dispatch = dispatch
         self.clock = clock
-        self.promised_ms = route.aim_ms if promised_ms is None else promised_ms
+        self.promised_ms = route.target_ms if promised_ms is None else promised_ms
         self.give_up = math.inf
         if may_refuse:
-            self.give_up = request.arrived + GIVE_UP_AIMS * route.aim_ms
+            self.give_up = request.arrived + GIVE_UP_AIMS * route.target_ms
         self.handles: dict[int, tuple[str, ...]] = {}
         self.places: dict[int, tuple[str, ...]] = {}
         self.waiting: dict[int, Submission] = {}
@@ -173,7 +173,7 @@
         """Return what is handed over for one stage."""
         stage = self.route.stages[number]
         inputs = tuple(handle for needed in stage.after for handle in self.handles[needed])
-        due = self.request.arrived + self.promised_ms - finish_ms(self.request.prompt)
+        due = self.request.arrived + self.promised_ms - first_event_ms(self.request.prompt)
         return StageJob(
             request=self.request.id,
             stage=number,
--- a/packages/core/src/mountladder/forwarding/stageforecast.py
+++ b/packages/core/src/mountladder/forwarding/stageforecast.py
@@ -15,7 +15,7 @@
 from mountladder.forwarding.backlog import by_rank
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
 from mountladder.forwarding.expectation import Expectation
-from mountladder.forwarding.finishtime import finish_ms
+from mountladder.forwarding.firsteventtime import first_event_ms
 from mountladder.forwarding.forwardrequest import ForwardRequest
 from mountladder.forwarding.route import Route
 from mountladder.forwarding.stagedispatch import StageDispatch
@@ -101,7 +101,7 @@
         """
         expectation = self.expect(request, route, urgency)
         self.learn_usual(route, expectation.own_ms)
-        in_time = expectation.route_ms + age_ms <= by_rank(LET_IN_AIMS, urgency) * route.aim_ms
+        in_time = expectation.route_ms + age_ms <= by_rank(LET_IN_AIMS, urgency) * route.target_ms
         nothing_waits = expectation.waiting_ms <= LEAST_WAIT_MS
         if in_time or (nothing_waits and age_ms <= 0.0):
             return expectation
@@ -121,16 +121,16 @@
         in_time = expectation.ms <= min(request.allowed_ms, route.timeout_ms)
         if expectation.gives_way:
             # It would be given up by then.
-            in_time = in_time and expectation.route_ms <= GIVE_UP_AIMS * route.aim_ms
+            in_time = in_time and expectation.route_ms <= GIVE_UP_AIMS * route.target_ms
         if in_time:
             return
         back_ms = self.back_ms(request, route, expectation.ms)
-        detail = f"expected {expectation.ms:.0f} ms, aim {route.aim_ms:.0f} ms"
+        detail = f"expected {expectation.ms:.0f} ms, aim {route.target_ms:.0f} ms"
         raise RefusalError(detail, Code.DEADLINE_UNMEETABLE, retry_after_ms=back_ms)
 
     def back_ms(self, request: ForwardRequest, route: Route, expected_ms: float) -> float:
         """Return when a request that is refused may come back, in milliseconds."""
-        back_ms = max(LEAST_BACK_MS, BACK_EXCESS * (expected_ms - route.aim_ms))
+        back_ms = max(LEAST_BACK_MS, BACK_EXCESS * (expected_ms - route.target_ms))
         return min(back_ms, MOST_BACK_MS, BACK_PART * request.allowed_ms)
 
     def expect(
@@ -145,7 +145,7 @@
             gives_way: Whether its pieces give way to all that can be on time.
         """
         stages = range(len(route.stages))
-        reading_ms = finish_ms(request.prompt)
+        reading_ms = first_event_ms(request.prompt)
         waits = [self.dispatch.wait_ms(one.service, urgency, gives_way) for one in route.stages]
         alone = (self.stage_ms(request, route, n) for n in stages)
         behind = (self.stage_ms(request, route, n, waits) for n in stages)
--- a/packages/core/src/mountladder/forwarding/stageservers.py
+++ b/packages/core/src/mountladder/forwarding/stageservers.py
@@ -56,7 +56,7 @@
 
     def begin(self, state: ServerState, call: StageCallState) -> None:
         """Record that a call is sent."""
-        self.cold.sent(state.server, call.pieces)
+        self.cold.record_sent(state.server, call.pieces)
         if self.named_limits.limited((state.server,)):
             self.limited_call_at = call.started
         # A call is one request, however many pieces it holds.
--- a/packages/core/src/mountladder/forwarding/streamrun.py
+++ b/packages/core/src/mountladder/forwarding/streamrun.py
@@ -14,17 +14,17 @@
 from mountladder.forwarding.forwardanswer import ForwardAnswer
 from mountladder.forwarding.forwardattempt import ForwardAttempt
 from mountladder.forwarding.forwardrun import ForwardRun
-from mountladder.forwarding.repeats import why_not_again
+from mountladder.forwarding.retryrules import no_retry_error
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
 from mountladder.metrics.metric import Metric
 
-SUCCESS = 300
+SUCCESS_END = 300
 # A resumable stream moves to another server when its first event takes longer than this many
 # latency targets, or a pause longer than this many times the route's longest pause. Until then a
 # slow server may still answer sooner than another one.
-FIRST_EVENT_AIMS = 1.0
-GAPS = 5.0
-LEAST_GAP_MS = 1_000.0
+FIRST_EVENT_TARGETS = 1.0
+GAP_MULTIPLE = 5.0
+MIN_GAP_TIMEOUT_MS = 1_000.0
 
 
 class StreamRun(ForwardRun):
@@ -36,11 +36,11 @@
 
     def answer(self) -> ForwardAnswer:
         """Return the answer once its first event has arrived; see ForwardRun."""
-        splitter = EventSplitter(self.request.after_event)
+        splitter = EventSplitter(self.request.last_event_id)
         try:
             attempt, answer, first = self.open(splitter)
-            if answer.status >= SUCCESS:
-                return self.whole(attempt, answer)
+            if answer.status >= SUCCESS_END:
+                return self.buffered_answer(attempt, answer)
         except MountladderError as error:
             self.finish(error)
             raise
@@ -48,8 +48,8 @@
             self.finish(RunError("", Code.CANCELLED))
             raise
         if self.expected_ms and not self.gives_way:
-            self.context.forecast.learn(self.route, self.expected_ms, self.elapsed())
-        self.log("first-event", server=attempt.server, elapsed_ms=round(self.elapsed()))
+            self.context.forecast.learn(self.route, self.expected_ms, self.elapsed_ms())
+        self.log("first-event", server=attempt.server, elapsed_ms=round(self.elapsed_ms()))
         if self.flow is not None:
             # The server has fetched the results. Memory for results runs short under load, and a
             # stream that breaks has its stages rerun.
@@ -57,15 +57,15 @@
         body = self.events(attempt, answer, splitter, first)
         return ForwardAnswer(answer.status, answer.headers, body)
 
-    def whole(self, attempt: ForwardAttempt, answer: UpstreamAnswer) -> ForwardAnswer:
+    def buffered_answer(self, attempt: ForwardAttempt, answer: UpstreamAnswer) -> ForwardAnswer:
         """Return an answer that is not a stream, such as an error of the server."""
         try:
-            body = answer.read(self.left())
+            body = answer.read(self.remaining_ms())
         except StageError as error:
-            self.learn_failure(attempt, error.code)
+            self.record_failure(attempt, error.code)
             self.case.failed(attempt.choice.state.server, attempt.started, error)
             raise RunError(error.detail, error.code) from error
-        self.learn_failure(attempt, Code.STAGE_FAILED)
+        self.record_failure(attempt, Code.STAGE_FAILED)
         self.finish(status=answer.status)
         return ForwardAnswer(answer.status, answer.headers, body)
 
@@ -75,15 +75,19 @@
         Returns:
             The attempt, its answer and the events received so far.
         """
-        inputs = self.make_inputs()
+        inputs = self.run_stages()
         while True:
-            attempt = self.begin()
+            attempt = self.start_attempt()
             answer = None
             try:
                 answer = self.call(
-                    attempt, inputs, splitter.last_id, self.first_ms(attempt), self.release_soon
+                    attempt,
+                    inputs,
+                    splitter.last_id,
+                    self.first_event_timeout_ms(attempt),
+                    self.schedule_release,
                 )
-                if answer.status >= SUCCESS:
+                if answer.status >= SUCCESS_END:
                     return attempt, answer, b""
                 first = self.first_events(attempt, answer, splitter)
             except StageError as error:
@@ -92,26 +96,26 @@
                 self.cancel_release()
                 self.failed(attempt, error)
                 if error.code is Code.RESULT_GONE:
-                    self.learn_gone()
-                inputs = self.make_inputs()
+                    self.record_missing_results()
+                inputs = self.run_stages()
             except BaseException:
                 if answer is not None:
                     answer.close()
-                self.learn_failure(attempt, Code.CANCELLED)
+                self.record_failure(attempt, Code.CANCELLED)
                 raise
             else:
-                self.succeeded(attempt, answer.load, goes_on=True)
+                self.succeeded(attempt, answer.load, streaming=True)
                 self.context.fetch_time.fetched()
                 return attempt, answer, first
 
-    def release_soon(self) -> None:
+    def schedule_release(self) -> None:
         """Schedule the release of stage results for when the server should have fetched them."""
         if self.flow is not None and self.flow.handles:
             size = self.flow.result_bytes()
             wait_ms = self.context.fetch_time.wait_ms(size, self.flow.link_mbps())
             self.cancel_release = self.context.clock.call_later(wait_ms, self.flow.release)
 
-    def learn_gone(self) -> None:
+    def record_missing_results(self) -> None:
         """Record that a server could not fetch stage results, which are made again."""
         if self.flow is not None and not self.flow.handles:
             self.context.fetch_time.too_early()
@@ -128,14 +132,14 @@
         """
         if not answer.signed:
             raise StageError("a successful answer without the server's signature", Code.BAD_ANSWER)
-        splitter.rest = b""
+        splitter.incomplete = b""
         while True:
-            data = answer.read_some(self.first_ms(attempt))
+            data = answer.read_some(self.first_event_timeout_ms(attempt))
             if not data:
                 raise StageError("the stream ended before its first event", Code.STREAM_CUT)
-            whole = self.split(splitter, data)
-            if whole:
-                return whole
+            complete = self.split(splitter, data)
+            if complete:
+                return complete
 
     def events(
         self,
@@ -150,19 +154,19 @@
             MountladderError: The stream broke; the caller must see that it is incomplete.
         """
         error: MountladderError | None = RunError("", Code.CANCELLED)
-        held: ForwardAttempt | None = attempt
+        active: ForwardAttempt | None = attempt
         try:
             yield first
             while True:
                 try:
-                    yield from self.rest(answer, splitter)
+                    yield from self.remaining_events(answer, splitter)
                     break
                 except StageError as cut:
                     answer.close()
                     self.context.picker.finished(attempt.picked)
-                    held = None
+                    active = None
                     attempt, answer, first = self.resume(attempt, cut, splitter)
-                    held = attempt
+                    active = attempt
                     yield first
             error = None
             self.case.answered()
@@ -171,24 +175,24 @@
             raise
         finally:
             answer.close()
-            if held is not None:
-                self.context.picker.finished(held.picked)
+            if active is not None:
+                self.context.picker.finished(active.picked)
             self.finish(error, status=answer.status)
 
-    def rest(self, answer: UpstreamAnswer, splitter: EventSplitter) -> Iterator[bytes]:
+    def remaining_events(self, answer: UpstreamAnswer, splitter: EventSplitter) -> Iterator[bytes]:
         """Yield the remaining events of one server's answer.
 
         Raises:
             StageError: The stream broke, or a pause was too long.
         """
         while True:
-            data = answer.read_some(self.gap_ms())
+            data = answer.read_some(self.gap_timeout_ms())
             if not data:
                 break
-            whole = self.split(splitter, data)
-            if whole:
-                yield whole
-        if splitter.rest.strip():
+            complete = self.split(splitter, data)
+            if complete:
+                yield complete
+        if splitter.incomplete.strip():
             raise StageError("the stream ended within an event", Code.STREAM_CUT)
 
     def resume(
@@ -201,32 +205,32 @@
         """
         self.case.failed(attempt.choice.state.server, attempt.started, cut)
         self.excluded |= {attempt.server}
-        self.runs += 1
-        problem = why_not_again(self, cut)
+        self.possible_runs += 1
+        problem = no_retry_error(self, cut)
         self.log(
             "stream-cut",
             server=attempt.server,
             code=cut.code.number,
             reason=cut.detail,
-            after_event=splitter.last_id,
+            last_event_id=splitter.last_id,
             outcome="not resumed" if problem else "resumed",
         )
         attempt.choice.state.breaker.fail(self.context.clock.now())
         if problem is not None:
             raise problem from cut
         self.context.metrics.count(Metric.RESUMED)
-        found = self.open(splitter)
-        if found[1].status >= SUCCESS:
-            found[1].close()
-            self.learn_failure(found[0], Code.STAGE_FAILED)
-            raise RunError(f"status {found[1].status} while resuming the stream", Code.STREAM_CUT)
-        return found
+        resumed = self.open(splitter)
+        if resumed[1].status >= SUCCESS_END:
+            resumed[1].close()
+            self.record_failure(resumed[0], Code.STAGE_FAILED)
+            raise RunError(f"status {resumed[1].status} while resuming the stream", Code.STREAM_CUT)
+        return resumed
 
-    def make_inputs(self) -> tuple[str, ...]:
+    def run_stages(self) -> tuple[str, ...]:
         """Return the handles of stage results; rerun the stages only if they were released."""
         if self.flow is not None and self.flow.handles:
             return self.flow.inputs()
-        return super().make_inputs()
+        return super().run_stages()
 
     def split(self, splitter: EventSplitter, data: bytes) -> bytes:
         """Return the events that the data completes.
@@ -239,20 +243,22 @@
         except ValueError as error:
             raise StageError(str(error), Code.BAD_ANSWER) from error
 
-    def first_ms(self, attempt: ForwardAttempt) -> float:
+    def first_event_timeout_ms(self, attempt: ForwardAttempt) -> float:
         """Return the timeout for the first event, in milliseconds."""
-        if not self.route.resumable or self.sendings >= self.route.most_attempts:
-            return self.left()
+        if not self.route.resumable or self.attempts >= self.route.max_attempts:
+            return self.remaining_ms()
         waited = self.context.clock.now() - attempt.started
-        return min(self.left(), max(1.0, FIRST_EVENT_AIMS * self.route.aim_ms - waited))
+        return min(
+            self.remaining_ms(), max(1.0, FIRST_EVENT_TARGETS * self.route.target_ms - waited)
+        )
 
-    def gap_ms(self) -> float:
+    def gap_timeout_ms(self) -> float:
         """Return the timeout for the next event, in milliseconds."""
-        if not self.route.resumable or self.runs + 1 >= self.route.most_attempts:
-            return self.left()
-        return min(self.left(), max(LEAST_GAP_MS, GAPS * self.route.gap_ms))
+        if not self.route.resumable or self.possible_runs + 1 >= self.route.max_attempts:
+            return self.remaining_ms()
+        return min(self.remaining_ms(), max(MIN_GAP_TIMEOUT_MS, GAP_MULTIPLE * self.route.gap_ms))
 
-    def learn_failure(self, attempt: ForwardAttempt, code: Code) -> None:
+    def record_failure(self, attempt: ForwardAttempt, code: Code) -> None:
         """Record a failed attempt that is not retried."""
         elapsed_ms = self.context.clock.now() - attempt.started
         self.context.picker.failed(attempt.picked, self.request, self.service, code, elapsed_ms)
--- a/packages/core/src/mountladder/forwarding/upstream.py
+++ b/packages/core/src/mountladder/forwarding/upstream.py
@@ -21,11 +21,11 @@
     """Sends calls to backend servers.
 
     Attributes:
-        part_of_connections: Returns how many idle connections to a server this instance may keep
+        connection_share: Returns how many idle connections to a server this instance may keep
             open, or None for no limit.
     """
 
-    part_of_connections: Callable[[BackendServer], int | None] = staticmethod(lambda server: None)
+    connection_share: Callable[[BackendServer], int | None] = staticmethod(lambda server: None)
 
     @abstractmethod
     def open(self, server: BackendServer, call: ForwardCall, limit_ms: float) -> UpstreamAnswer:
@@ -43,7 +43,7 @@
 
     @abstractmethod
     def run_pieces(
-        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, heard: Heard
+        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, on_notices: Heard
     ) -> tuple[PieceResult, ...]:
         """Have a server run pieces and return the results in the same order.
 
@@ -51,7 +51,7 @@
             server: The server.
             pieces: The pieces.
             limit_ms: The timeout for the answer, in milliseconds.
-            heard: Called with the notices in the answer; see ForwardCall.
+            on_notices: Called with the notices in the answer; see ForwardCall.
 
         Raises:
             StageError: The server refused, or the answer was incomplete or too late.
@@ -65,13 +65,13 @@
         """
 
     @abstractmethod
-    def free(self, server: BackendServer, handles: Sequence[str], heard: Heard) -> None:
+    def free(self, server: BackendServer, handles: Sequence[str], on_notices: Heard) -> None:
         """Tell a server that results are no longer needed; failures are ignored.
 
         Args:
             server: The server that holds the results.
             handles: The handles of the results.
-            heard: Called with the notices in the answer; see ForwardCall.
+            on_notices: Called with the notices in the answer; see ForwardCall.
         """
 
     @abstractmethod
--- a/packages/core/src/mountladder/forwarding/wholerun.py
+++ b/packages/core/src/mountladder/forwarding/wholerun.py
@@ -14,11 +14,11 @@
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
 
 # The lowest HTTP status that reports an error of the server.
-FAILURE = 500
+SERVER_ERROR = 500
 # An idempotent request is sent to another server if no answer begins within this fraction of its
 # latency target. Calls take about a third of the target, so the second answer can be on time.
-FIRST_PART = 0.6
-LEAST_PATIENCE_MS = 100.0
+FIRST_ATTEMPT_FRACTION = 0.6
+MIN_ANSWER_TIMEOUT_MS = 100.0
 
 
 class WholeRun(ForwardRun):
@@ -27,7 +27,7 @@
     def answer(self) -> ForwardAnswer:
         """Return the answer; see ForwardRun."""
         try:
-            answer = self.try_servers(self.make_inputs())
+            answer = self.try_servers(self.run_stages())
         except MountladderError as error:
             self.finish(error)
             raise
@@ -40,24 +40,26 @@
     def try_servers(self, inputs: tuple[str, ...]) -> ForwardAnswer:
         """Send the request to one server after another until one answers."""
         while True:
-            attempt = self.begin()
+            attempt = self.start_attempt()
             answer = None
             try:
-                answer = self.call(attempt, inputs, self.request.after_event, self.patience_ms())
-                body = answer.read(self.left())
+                answer = self.call(
+                    attempt, inputs, self.request.last_event_id, self.answer_timeout_ms()
+                )
+                body = answer.read(self.remaining_ms())
                 self.check(answer)
             except StageError as error:
                 self.failed(attempt, error)
                 continue
             except BaseException:
-                self.abandoned(attempt)
+                self.record_cancelled(attempt)
                 if answer is not None:
                     answer.close()
                 raise
-            if answer.status >= FAILURE and self.tries_again(attempt, answer):
+            if answer.status >= SERVER_ERROR and self.retries_after(attempt, answer):
                 continue
-            if answer.status < FAILURE:
-                self.succeeded(attempt, answer.load, goes_on=False)
+            if answer.status < SERVER_ERROR:
+                self.succeeded(attempt, answer.load, streaming=False)
                 self.case.answered()
             return ForwardAnswer(answer.status, answer.headers, body)
 
@@ -70,7 +72,7 @@
         if answer.status < 300 and not answer.signed:
             raise StageError("a successful answer without the server's signature", Code.BAD_ANSWER)
 
-    def tries_again(self, attempt: ForwardAttempt, answer: UpstreamAnswer) -> bool:
+    def retries_after(self, attempt: ForwardAttempt, answer: UpstreamAnswer) -> bool:
         """Record an error status of a server; return whether the request is retried."""
         error = StageError(f"status {answer.status}", Code.STAGE_FAILED)
         try:
@@ -79,15 +81,15 @@
             return False
         return True
 
-    def patience_ms(self) -> float:
+    def answer_timeout_ms(self) -> float:
         """Return the timeout for the head of the answer, in milliseconds."""
-        last = self.sendings >= self.route.most_attempts
-        if not self.route.repeatable or last:
-            return self.left()
-        part = max(LEAST_PATIENCE_MS, FIRST_PART * self.route.aim_ms)
-        return min(self.left(), part)
+        is_last = self.attempts >= self.route.max_attempts
+        if not self.route.repeatable or is_last:
+            return self.remaining_ms()
+        timeout_ms = max(MIN_ANSWER_TIMEOUT_MS, FIRST_ATTEMPT_FRACTION * self.route.target_ms)
+        return min(self.remaining_ms(), timeout_ms)
 
-    def abandoned(self, attempt: ForwardAttempt) -> None:
+    def record_cancelled(self, attempt: ForwardAttempt) -> None:
         """Record an attempt that was cancelled because the caller disconnected."""
         elapsed_ms = self.context.clock.now() - attempt.started
         self.context.picker.failed(
--- a/packages/core/src/mountladder/membership/wirewriter.py
+++ b/packages/core/src/mountladder/membership/wirewriter.py
@@ -212,7 +212,7 @@
 def _(message: PlacementOrder, frame) -> None:
     order, prompt = frame.init("placementOrder"), message.prompt
     order.number, order.service = message.number, message.service
-    order.tokens, order.mostOutput = prompt.tokens, prompt.most_output
+    order.tokens, order.mostOutput = prompt.tokens, prompt.max_output
     parts = order.init("parts", len(prompt.parts))
     for part, to in zip(prompt.parts, parts, strict=True):
         to.id, to.tokens = part.id, part.tokens
--- a/packages/standins/src/mountladder_standins/localupstream.py
+++ b/packages/standins/src/mountladder_standins/localupstream.py
@@ -91,7 +91,7 @@
         fault = self.faults.get(server.name)
         sent_at = self.clock.now()
         self.arrivals[call.request.id].append(server.name)
-        self.refuse(server, call.heard)
+        self.refuse(server, call.on_notices)
         self.check_listening(server)
         call.connected()
         self.runs[call.request.id].append(server.name)
@@ -101,7 +101,7 @@
         self.work(server, self.work_ms(call), (call.request.body,))
         if fault is ServerFault.RESET:
             raise StageError("", Code.STREAM_CUT)
-        call.heard(server, self.notices(server), sent_at)
+        call.on_notices(server, self.notices(server), sent_at)
         answer = self.answer(server, call, fault)
         self.answers.append(answer)
         return answer
@@ -111,7 +111,7 @@
         limit = RateLimit(self.limits.get(server.name, UNLIMITED))
         return (limit, Leaving()) if server.name in self.leaving else (limit,)
 
-    def refuse(self, server: BackendServer, heard: Heard) -> None:
+    def refuse(self, server: BackendServer, on_notices: Heard) -> None:
         """Refuse a request where the server is to.
 
         Raises:
@@ -125,7 +125,7 @@
             leaving = (Leaving(),) if server.name in self.leaving else ()
             rest_ms = self.rests.get(server.name, 0.0)
             rest = (Rest(rest_ms),) if rest_ms else ()
-            heard(server, leaving + rest, self.clock.now())
+            on_notices(server, leaving + rest, self.clock.now())
         if fault in _REFUSALS:
             raise StageError("", _REFUSALS[fault], False)
 
@@ -180,7 +180,7 @@
         if fault is ServerFault.ERROR:
             return LocalAnswer(self.clock, 500, True, [b"failed"])
         if call.request.method == "POST" and call.request.prompt is not None:
-            first = int(call.after_event or 0) + 1
+            first = int(call.last_event_id or 0) + 1
             events = [b"id: %d\ndata: x\n\n" % n for n in range(first, EVENTS + 1)]
             if fault is ServerFault.CUT:
                 events = [events[0], events[1] + b"id: 3\nda"]
@@ -190,11 +190,11 @@
         return LocalAnswer(self.clock, 200, signed, [server.name.encode()])
 
     def run_pieces(
-        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, heard: Heard
+        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, on_notices: Heard
     ) -> tuple[PieceResult, ...]:
         """Work on pieces; see Upstream."""
         fault = self.faults.get(server.name)
-        self.refuse(server, heard)
+        self.refuse(server, on_notices)
         self.check_listening(server)
         sent_at = self.clock.now()
         self.calls.append(PieceCall(server.name, self.clock.now(), tuple(pieces)))
@@ -204,15 +204,15 @@
         slower = SLOWER if fault is ServerFault.SLOW else 1.0
         ms = (CALL_MS + PIECE_MS * len(pieces)) * slower
         self.work(server, ms, tuple(piece.key for piece in pieces))
-        heard(server, self.notices(server), sent_at)
+        on_notices(server, self.notices(server), sent_at)
         if fault is ServerFault.NO_ROOM:
             return tuple(PieceResult("", PieceFailure.NO_ROOM) for _ in pieces)
         return tuple(PieceResult(f"{server.address}/{next(self.numbers)}") for _ in pieces)
 
-    def free(self, server: BackendServer, handles: Sequence[str], heard: Heard) -> None:
+    def free(self, server: BackendServer, handles: Sequence[str], on_notices: Heard) -> None:
         """Note which results were given up; see Upstream."""
         try:
-            self.refuse(server, heard)
+            self.refuse(server, on_notices)
         except StageError:
             return
         self.freed += handles
