--- a/packages/core/src/mountladder/forwarding/forwardcontext.py
+++ b/packages/core/src/mountladder/forwarding/forwardcontext.py
@@ -1,8 +1,8 @@
-# forwardcontext.py -- What forwarded requests on one instance share
+# forwardcontext.py -- State shared by the forwarded requests of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What forwarded requests on one instance share."""
+"""State shared by the forwarded requests of an instance."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 from mountladder.clocks.clock import Clock
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
-from mountladder.forwarding.departure import Departure
 from mountladder.forwarding.fetchtime import FetchTime
 from mountladder.forwarding.serverpicker import ServerPicker
+from mountladder.forwarding.shutdown import Shutdown
 from mountladder.forwarding.stagedispatch import StageDispatch
 from mountladder.forwarding.stageforecast import StageForecast
 from mountladder.forwarding.upstream import Upstream
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardContext:
-    """What forwarded requests on one instance share.
+    """State shared by the forwarded requests of an instance.
 
     Attributes:
         clock: The clock.
-        rng: The source of chance.
-        follower: The catalogue in force.
+        rng: The random number generator.
+        follower: Holds the catalogue in force.
         picker: Chooses servers.
-        upstream: Calls servers.
-        dispatch: Where stages are handed to.
+        upstream: Sends calls to servers.
+        dispatch: Runs stages.
         forecast: Refuses requests whose stages cannot be done in time.
         budget: Returns the retry budget of a service.
-        metrics: Where metrics go.
-        departure: Whether the instance is about to end.
-        fetch_time: When servers have fetched the results of stages.
-        quarantine: Knows under which requests servers end.
-        notices: Takes in what answers say of their servers.
+        metrics: Receives metrics.
+        shutdown: Tracks the shutdown of the instance.
+        fetch_time: Estimates when servers have fetched stage results.
+        quarantine: Tracks requests during which servers crash.
+        notices: Applies the notices that servers send with their answers.
     """
 
     clock: Clock
@@ -53,7 +53,7 @@
     forecast: StageForecast
     budget: Callable[[str], WindowBudget]
     metrics: Metrics
-    departure: Departure
+    shutdown: Shutdown
     fetch_time: FetchTime
     quarantine: QuarantineService
     notices: NoticeBoard
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -18,7 +18,6 @@
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
 from mountladder.forwarding.coldservers import ColdServers
 from mountladder.forwarding.connectionshare import ConnectionShare
-from mountladder.forwarding.departure import Departure
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.directorylisting import DirectoryListing
 from mountladder.forwarding.fetchtime import FetchTime
@@ -28,12 +27,13 @@
 from mountladder.forwarding.forwardingsettings import ForwardingSettings
 from mountladder.forwarding.leadership import Leadership
 from mountladder.forwarding.memberreader import MemberReader
-from mountladder.forwarding.placementdesk import PlacementDesk
+from mountladder.forwarding.placementcoordinator import PlacementCoordinator
 from mountladder.forwarding.platformtables import PlatformTables
 from mountladder.forwarding.promptplacer import PromptPlacer
 from mountladder.forwarding.readers import PULSE_MS
 from mountladder.forwarding.retrybudgets import RetryBudgets
 from mountladder.forwarding.serverpicker import ServerPicker
+from mountladder.forwarding.shutdown import Shutdown
 from mountladder.forwarding.source import Source
 from mountladder.forwarding.sourcefollower import SourceFollower
 from mountladder.forwarding.sourcepage import SourcePage
@@ -54,15 +54,17 @@
 from mountladder.serverlimits.serverlimits import ServerLimits
 from mountladder.supervision import keep_running
 
-# Three missed heartbeats are silence, after which stages are handed to another instance: with
-# 250 ms that is about the time of three stages.
+# After three missed heartbeats a peer counts as unreachable, and stages move to another instance.
+# With 250 ms that takes about as long as three stages.
 HEARTBEAT_MS = 250.0
-# How often an instance judges whether data centres are cut off, a small part of the silence that it
-# takes; the others only look whether what they were told is old.
-WATCH_MS = 100.0
-WATCH_IDLE_MS = 600.0
-# What a call to another data centre is taken to add: half a millisecond each way, and its price.
-SPILL_MS = 3.0
+# How often an instance that decides which data centres are unreachable checks them: a small
+# fraction of the silence after which one counts as unreachable. Other instances only check whether
+# the reports they received are outdated.
+REACHABILITY_POLL_MS = 100.0
+REACHABILITY_IDLE_POLL_MS = 600.0
+# Assumed extra cost of a call to another data centre: 0.5 ms latency each way, the rest a penalty
+# for its price.
+CROSS_DATACENTRE_MS = 3.0
 
 
 class ForwardingInstance:
@@ -71,11 +73,11 @@
     Args:
         settings: The settings.
         clock: The clock.
-        tables: The platform's tables.
-        upstream: Calls backend servers.
-        network: Reaches the other instances.
-        metrics: Where metrics go.
-        seed: The seed of its random numbers, or None for a different one each time.
+        tables: Access to the platform's tables.
+        upstream: Sends calls to backend servers.
+        network: Connects to the other instances.
+        metrics: Receives metrics.
+        seed: The seed of the random number generator, or None for a random one.
     """
 
     def __init__(
@@ -95,7 +97,7 @@
         self.metrics = metrics
         self.stack = ExitStack()
         self.rng = random.Random(seed)
-        self.departure = Departure(clock, lambda: self.settings.grace_ms)
+        self.shutdown = Shutdown(clock, lambda: self.settings.grace_ms)
         self.me = Instance(
             settings.name,
             uuid.uuid4().hex[:12],
@@ -115,7 +117,7 @@
         self.build(upstream)
 
     def build(self, upstream: Upstream) -> None:
-        """Put the parts of the request path together."""
+        """Create and connect the components of the request path."""
         clock, metrics = self.clock, self.metrics
         self.router = Router(
             clock,
@@ -124,23 +126,23 @@
             ExpectedCompletion(),
             metrics,
             self.settings.datacentre,
-            SPILL_MS,
+            CROSS_DATACENTRE_MS,
         )
         leadership = Leadership(self.fleet, clock)
         self.cold = ColdServers(self.directory, self.follower, leadership, clock)
         self.notices = NoticeBoard(self.fleet, self.directory, self.router, clock, metrics)
         self.limits = ServerLimits(self.notices.book, leadership, clock)
-        desk = PlacementDesk(
+        coordinator = PlacementCoordinator(
             self.directory, self.router, clock, self.follower, self.cold, self.limits
         )
-        placer = PromptPlacer(self.fleet, desk, clock)
+        placer = PromptPlacer(self.fleet, coordinator, clock)
         picker = ServerPicker(self.directory, self.router, placer, self.cold, self.limits)
         self.upstream = upstream
         self.connections = ConnectionShare(self.follower, self.membership)
-        upstream.part_of_connections = self.connections.of
+        upstream.connection_share = self.connections.of
         self.build_quarantine(upstream)
         self.dispatch = StageDispatch(self.fleet, self.make_batcher, clock)
-        self.directory.listeners.append(self.pump)
+        self.directory.listeners.append(self.pump_batchers)
         self.forwarder = Forwarder(self.make_context(picker))
         intake = StoreIntake(self.tables, self.follower, self.directory, self.fleet.eras, clock)
         self.catalogue_source = self.make_follower(
@@ -151,11 +153,11 @@
         )
         self.directory_source.on_regained = self.directory.regained
         self.member_reader = MemberReader(self.tables.instances, self.fleet, clock)
-        self.fleet.is_fed = self.is_answered
+        self.fleet.is_fed = self.follows_store
         self.follower.is_fed = self.is_fed
 
     def build_quarantine(self, upstream: Upstream) -> None:
-        """Put the parts together that know under which requests servers end."""
+        """Create and connect the components that track which requests crash servers."""
         self.quarantine = QuarantineService(
             upstream.refuses,
             DirectoryListing(self.directory),
@@ -166,18 +168,18 @@
         )
         self.directory.listeners.append(self.quarantine.detector.check_listing)
         registry, readers = self.quarantine.registry, self.fleet.readers
-        registry.on_server_crashed = self.take_out
+        registry.on_server_crashed = self.disable_server
         self.bar_keeper = SuspicionPersister(self.tables.bars, registry, readers, self.clock)
         self.fleet.eras.listeners.append(self.bar_keeper.rewrite_recent)
 
-    def take_out(self, name: str) -> None:
-        """Use a server no more that has ended, whoever noticed."""
+    def disable_server(self, name: str) -> None:
+        """Stop using a server that has crashed, whichever instance noticed it."""
         server = self.directory.find(name)
         if server is not None:
             self.router.ended(server)
 
     def make_context(self, picker: ServerPicker) -> ForwardContext:
-        """Return what forwarded requests share."""
+        """Return the state that forwarded requests share."""
         return ForwardContext(
             clock=self.clock,
             rng=self.rng,
@@ -188,23 +190,23 @@
             forecast=StageForecast(self.dispatch, self.follower),
             budget=self.budgets.of,
             metrics=self.metrics,
-            departure=self.departure,
+            shutdown=self.shutdown,
             fetch_time=FetchTime(),
             quarantine=self.quarantine,
             notices=self.notices,
         )
 
     def make_follower(
-        self, name: str, source: Source, take: Callable[[SourcePage, bool], None]
+        self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]
     ) -> SourceFollower:
-        """Return a follower of a table, which follows it while that is this instance's to do."""
+        """Return a follower of a table; it reads while this instance is to follow the store."""
         readers = self.fleet.readers
         follower = SourceFollower(
             name,
             source,
             self.clock,
             self.metrics,
-            take,
+            apply,
             self.settings.feed_ms,
             readers.is_due,
             readers.idle_ms,
@@ -230,41 +232,44 @@
             self.notices,
         )
 
-    def pump(self) -> None:
-        """Let every batcher look at the servers there are now."""
+    def pump_batchers(self) -> None:
+        """Have every batcher send what the current servers can take."""
         for batcher in self.dispatch.batchers.values():
             batcher.pump()
 
     def is_fed(self) -> bool:
-        """Tell whether news of the catalogue would come, from the store and from some peer."""
+        """Return whether catalogue updates would reach this instance.
+
+        That needs a live peer, unless none is known, and an answering store, here or at a peer.
+        """
         known = self.membership.addressed()
-        heard = not known or any(self.fleet.is_alive(one) for one in known)
-        return heard and (self.is_answered() or self.fleet.readers.has_fed_peer())
+        reachable = not known or any(self.fleet.is_alive(one) for one in known)
+        return reachable and (self.follows_store() or self.fleet.readers.has_fed_peer())
 
-    def is_answered(self) -> bool:
-        """Tell whether this instance follows the store and is answered."""
+    def follows_store(self) -> bool:
+        """Return whether this instance follows the store and the store answers."""
         return self.catalogue_source.fed and self.directory_source.fed
 
     @property
     def leaving(self) -> bool:
-        """Tell whether the instance is about to end."""
-        return self.departure.asked_at is not None
+        """Return whether the instance is shutting down."""
+        return self.shutdown.requested_at is not None
 
     @property
     def ready(self) -> bool:
-        """Tell whether the instance can take requests."""
+        """Return whether the instance can accept requests."""
         return not self.leaving and self.follower.catalogue is not None and self.directory.ready
 
     def start(self) -> None:
-        """Start the tasks, which the stack ends."""
+        """Start the background tasks; closing the stack stops them."""
         self.network.listen(self.me, self.fleet.serve, self.stack)
         loops: tuple[Callable[[], None], ...] = (
             self.catalogue_source.run,
             self.directory_source.run,
             self.member_reader.run,
             self.bar_keeper.run,
-            self.keep_telling,
-            self.keep_watching,
+            self.keep_announcing,
+            self.keep_checking_reachability,
             self.fleet.run,
         )
         tasks = [gevent.spawn(keep_running, loop, self.clock) for loop in loops]
@@ -272,26 +277,26 @@
         self.stack.callback(gevent.killall, tasks, block=False)
         self.stack.callback(self.upstream.close)
 
-    def keep_telling(self) -> None:
-        """Tell those near that this instance follows the store for them, while it does."""
+    def keep_announcing(self) -> None:
+        """Announce periodically, while it is so, that this instance follows the store."""
         while True:
             self.clock.sleep(PULSE_MS)
             if self.fleet.readers.reading:
                 self.fleet.pulse()
 
-    def keep_watching(self) -> None:
-        """Look which data centres can be reached, often where this instance judges that."""
+    def keep_checking_reachability(self) -> None:
+        """Poll which data centres are reachable, more often where this instance decides it."""
         while True:
-            judges = bool(self.fleet.contacts.other_places())
-            self.clock.sleep(WATCH_MS if judges else WATCH_IDLE_MS)
+            decides_here = bool(self.fleet.contacts.other_places())
+            self.clock.sleep(REACHABILITY_POLL_MS if decides_here else REACHABILITY_IDLE_POLL_MS)
             self.fleet.watch_datacentres()
 
     def leave(self) -> None:
-        """Tell the balancer and the peers that this instance is about to end."""
-        self.departure.begin()
+        """Begin the shutdown and announce it to the load balancer and the peers."""
+        self.shutdown.begin()
         self.fleet.leaving = self.fleet.ranking.leaving = True
         self.fleet.tell_all()
 
     def close(self) -> None:
-        """End every task."""
+        """Stop every task and close all connections."""
         self.stack.close()
--- /dev/null
+++ b/packages/core/src/mountladder/forwarding/reservation.py
@@ -0,0 +1,124 @@
+# reservation.py -- Reservation of a slot at a backend server for a request
+# Copyright (C) 2026 The mountladder authors
+# SPDX-License-Identifier: Apache-2.0
+
+"""Reservation of a slot at a backend server for a request."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from mountladder.code import Code
+from mountladder.forwarding.firsteventtime import first_event_ms
+from mountladder.forwarding.pickedserver import PickedServer
+from mountladder.routing.serverwish import ServerWish
+
+if TYPE_CHECKING:
+    from mountladder.forwarding.forwardrun import ForwardRun
+
+# The assumed duration of a request without a prompt, as a fraction of its latency target.
+OWN_TIME_FRACTION = 0.5
+# After work was spent on its stages, a request may wait for this fraction of its remaining time.
+BEGUN_WAIT_FRACTION = 0.75
+
+
+class Reservation:
+    """Chooses servers for a request and reserves a slot if all of them limit their request rate.
+
+    Args:
+        run: The execution of the request.
+
+    Attributes:
+        reserved: The server at which a slot is reserved, or None.
+    """
+
+    def __init__(self, run: ForwardRun) -> None:
+        self.run = run
+        self.picker = run.context.picker
+        self.clock = run.context.clock
+        self.reserved: PickedServer | None = None
+
+    def reserve(self, stages_ms: float) -> None:
+        """Reserve a slot before any stage runs, if all servers limit their request rate.
+
+        Args:
+            stages_ms: How long the stages are expected to take, in milliseconds.
+
+        Raises:
+            RefusalError: The wait for a slot, or for the end of a back-off, would be too long.
+        """
+        if self.picker.backoff_ms(self.run.service) > max(stages_ms, self.max_wait_ms()):
+            raise self.picker.backoff_refusal(self.run.service)
+        if self.picker.all_limited(self.run.service):
+            self.reserved = self.pick(max(stages_ms, self.max_wait_ms()))
+
+    def acquire(self) -> PickedServer:
+        """Choose a server, or use the reserved one, and wait until it accepts the request.
+
+        Raises:
+            RefusalError: No server is available, or none accepts the request in time.
+        """
+        while True:
+            self.run.case.admit(self.run.remaining_ms())
+            self.wait_for_backoff()
+            reserved, self.reserved = self.reserved, None
+            picked = reserved or self.pick(self.max_wait_ms())
+            waited = self.wait_for(picked)
+            if not (reserved or waited) or self.picker.still_accepts(picked, self.run.service):
+                return picked
+            self.cancel(picked)
+
+    def wait_for_backoff(self) -> None:
+        """Wait while all servers ask this instance to back off.
+
+        Raises:
+            RefusalError: The back-off takes too long.
+        """
+        while (backoff_ms := self.picker.backoff_ms(self.run.service)) > 0:
+            if backoff_ms > self.max_wait_ms():
+                raise self.picker.backoff_refusal(self.run.service)
+            self.run.log("backoff-wait", wait_ms=round(backoff_ms))
+            self.clock.sleep(backoff_ms)
+
+    def release(self) -> None:
+        """Cancel a reservation that was not used."""
+        if self.reserved is not None:
+            self.cancel(self.reserved)
+            self.reserved = None
+
+    def pick(self, max_wait_ms: float) -> PickedServer:
+        """Choose a server; see ServerPicker."""
+        run = self.run
+        wish = ServerWish(run.excluded, run.site, max_wait_ms, run.urgency)
+        return self.picker.pick(run.request, run.service, run.remaining_ms(), wish)
+
+    def max_wait_ms(self) -> float:
+        """Return how long the request may wait for a slot, in milliseconds.
+
+        That is as long as it can still meet its latency target, or longer once work was spent on
+        its stages: then a late answer is better than an error.
+        """
+        run = self.run
+        target_ms, prompt = run.route.target_ms, run.request.prompt
+        own_ms = first_event_ms(prompt) if prompt is not None else OWN_TIME_FRACTION * target_ms
+        wait_ms = target_ms - own_ms - run.elapsed_ms() - run.age_ms
+        return max(
+            0.0, wait_ms, BEGUN_WAIT_FRACTION * run.remaining_ms() if run.may_have_run() else 0.0
+        )
+
+    def wait_for(self, picked: PickedServer) -> bool:
+        """Wait until a server accepts the request; return whether a wait was needed."""
+        wait_ms = picked.ready_at - self.clock.now()
+        if wait_ms <= 0:
+            return False
+        self.run.log("slot-wait", server=picked.choice.state.server.name, wait_ms=round(wait_ms))
+        try:
+            self.clock.sleep(wait_ms)
+        except BaseException:
+            self.cancel(picked)
+            raise
+        return True
+
+    def cancel(self, picked: PickedServer) -> None:
+        """Cancel the choice of a server to which the request is not sent."""
+        self.picker.failed(picked, self.run.request, self.run.service, Code.CANCELLED, 0.0)
