--- a/features/largerequests.feature
+++ b/features/largerequests.feature
@@ -5,7 +5,7 @@
   # seconds. Nearly all refusals were made at the door, which compared waiting and own time together
   # with the aim. The wait settles where a usual request can just be in time, so that one with a
   # longer prompt of its own never was: size alone chose who was refused.
-  # Proof: the lines "turned-away" of the largest tenth have the same waiting_ms as those of the
+  # Proof: the lines "request-refused" of the largest tenth have the same waiting_ms as those of the
   # others and a larger reading_ms; nobody was refused by queue or model server for its size.
 
   Background:
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -1,8 +1,8 @@
-# batcher.py -- Pieces of one service in batches
+# batcher.py -- Batches pieces of one stage service into calls to its servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Pieces of one service in batches."""
+"""Batches pieces of one stage service into calls to its servers."""
 
 from __future__ import annotations
 
@@ -35,40 +35,42 @@
 from mountladder.routing.serverstate import ServerState
 from mountladder.serverlimits.serverlimits import ServerLimits
 
-# How soon the queue is looked at again where no event would do it.
+# Interval between polls of a queue with waiting pieces, where no event triggers an earlier one.
 LOOK_AGAIN_MS = 40.0
-# For how long a backlog that was worked out is told: a tenth of a call.
+# How long a computed backlog is reported before it is computed again: a tenth of a call.
 BACKLOG_MS = 20.0
-# What pieces are taken to wait where no server is in use.
+# The expected wait while no server is usable.
 NO_SERVER_MS = 5_000.0
-# Pieces that wait longer than so many full calls wait for more than the next free server.
+# The service is congested once its oldest piece has waited longer than this many full calls; a
+# shorter wait is just for the next free server.
 CROWDED = 1.5
-# A server that limits what it takes is asked to give up results once so much of its room is taken.
+# Results that are held back at a rate-limited server are released once this fraction of its result
+# memory is in use.
 SHORT_ROOM = 0.5
-# The servers are taken to make at least this part of what full calls would make.
+# Lower bound of the measured throughput, as a fraction of the throughput with full calls.
 LEAST_RATE = 0.3
 
 
 class Batcher:
-    """Sends the pieces of one service to its servers, as many in a call as are waiting.
+    """Sends the pieces of one service to its servers, in batches of all that wait.
 
-    A call costs much before its first piece, so that pieces of many requests share calls. While
-    every server is busy pieces wait; the server that is free first takes those due first. Pieces
-    that cannot be on time any more go behind all others, by urgency.
+    A call has a high fixed cost, so the pieces of many requests share calls. While all servers are
+    busy, pieces wait; the first free server gets those that are due first. Pieces that can't be on
+    time any more are queued behind all others, by urgency.
 
     Args:
         service: The name of the service.
-        catalogue: What a server of the service takes at once.
-        division: Which servers the pieces are made at.
-        router: What is known of each server.
+        catalogue: Source of the service's batch limits.
+        division: Selects the servers that pieces are sent to.
+        router: Holds the state of each server.
         upstream: Calls the servers.
-        quarantine: Knows under whose pieces servers end.
-        budget: Limits how often pieces are sent again.
+        quarantine: Tracks requests whose pieces crash servers.
+        budget: Retry budget of the service.
         clock: The clock.
-        metrics: Where calls are counted.
-        cold: Limits what servers get that have just started.
-        limits: Keeps to what servers say that they take.
-        notices: Takes in what answers say of their servers.
+        metrics: Counts and times calls.
+        cold: Limits the pieces sent to servers that have just started.
+        limits: Enforces the rate limits that servers announce.
+        notices: Receives the notices that answers carry about their servers.
     """
 
     def __init__(
@@ -106,7 +108,7 @@
         self.cancel_look: Callable[[], None] | None = None
 
     def make_releaser(self, directory: Directory) -> Releaser:
-        """Return what gives up results."""
+        """Return the releaser of this batcher's results."""
         return Releaser(
             self.upstream,
             directory,
@@ -118,7 +120,7 @@
         )
 
     def submit(self, job: StageJob, done: Done) -> JobProgress:
-        """Take in the pieces of a stage; done is called with their results."""
+        """Queue the pieces of a stage; done is called with their results."""
         progress = JobProgress(job, done, self.clock.now())
         for _ in range(job.pieces):
             self.budget.earn()
@@ -128,13 +130,13 @@
         return progress
 
     def withdraw(self, progress: JobProgress) -> None:
-        """Drop pieces that wait and are not wanted any more, and the results of the others."""
+        """Cancel a stage: drop its waiting pieces and release the results that it has."""
         progress.ended = True
         self.queue.withdraw(progress)
         self.release([one.handle for one in progress.results.values()])
 
     def limits(self) -> BatchLimits | None:
-        """Return what a server takes at once, where the catalogue still has the service."""
+        """Return the batch limits of a server, or None if the catalogue lacks the service."""
         service = self.catalogue.service(self.service)
         return service.batch if service else None
 
@@ -156,22 +158,22 @@
             self.look_again()
 
     def is_crowded(self, limits: BatchLimits, now: float) -> bool:
-        """Tell whether pieces wait for longer than for the next free server."""
+        """Return whether pieces wait longer than until the next server is free."""
         return now - self.queue.oldest(now) > CROWDED * limits.expected_ms(limits.pieces)
 
     def release(self, handles: Sequence[str]) -> None:
-        """Give up results that are no longer needed."""
+        """Release results that are no longer needed."""
         self.releaser.release(handles)
 
     def freed(self, handles: Sequence[str]) -> None:
-        """Take in that servers have dropped results."""
+        """Free the memory accounted for results that servers have dropped."""
         for handle in handles:
             self.room.release(handle)
         if self.queue:
             self.pump()
 
     def free_held(self, limits: BatchLimits, now: float) -> None:
-        """Give up results that are held back at servers, where their room gets short."""
+        """Release held-back results at servers whose result memory runs short."""
         for state in self.servers.usable(now):
             address, name = state.server.address, state.server.name
             held = self.releaser.held.get(address)
@@ -180,17 +182,17 @@
                 self.releaser.free_held(address)
 
     def look_again(self) -> None:
-        """Look at the queue a little later, unless that is arranged already."""
+        """Schedule a poll of the queue, unless one is scheduled already."""
         if self.cancel_look is None:
             self.cancel_look = self.clock.call_later(LOOK_AGAIN_MS, self.looked)
 
     def looked(self) -> None:
-        """Look at the queue again."""
+        """Poll the queue."""
         self.cancel_look = None
         self.pump()
 
     def offer(self, state: ServerState, limits: BatchLimits, now: float) -> None:
-        """Send a server the pieces that are its to take, where that is best for them."""
+        """Send a batch to a free server, unless it is better that the pieces wait."""
         usable = self.servers.usable(now)
         manned = {one.server.datacentre for one in usable}
         used = self.room.taken(state.server.name, now)
@@ -207,10 +209,10 @@
         self.start(state, batch, limits, now)
 
     def backlog(self) -> Backlog:
-        """Return how long new pieces are expected to wait, by their place.
+        """Return the expected waits of new pieces, up to BACKLOG_MS old.
 
-        Every heartbeat of every instance that leaves pieces here asks, hundreds of times a second
-        in a large fleet, so that the figure may be some milliseconds old.
+        It is read for each heartbeat of each instance that sends pieces here, hundreds of times a
+        second in a large fleet, so it is cached.
         """
         now = self.clock.now()
         if self.told is None or now - self.told[0] >= BACKLOG_MS:
@@ -218,7 +220,7 @@
         return self.told[1]
 
     def newest_backlog(self, now: float) -> Backlog:
-        """Return how long new pieces are expected to wait, from what waits and what is asked."""
+        """Compute the expected waits of new pieces from the queue and the demand."""
         limits = self.limits()
         usable = self.servers.usable(now)
         if limits is None or not usable:
@@ -234,7 +236,7 @@
     def start(
         self, state: ServerState, batch: list[Waiting], limits: BatchLimits, now: float
     ) -> None:
-        """Send a batch to a server, in a task of its own."""
+        """Send a batch to a server in a greenlet of its own."""
         run = BatchRun(self, state, batch, limits, now)
         self.servers.begin(state, run.call)
         for progress, _ in batch:
--- a/packages/core/src/mountladder/forwarding/batchlimits.py
+++ b/packages/core/src/mountladder/forwarding/batchlimits.py
@@ -1,8 +1,8 @@
-# batchlimits.py -- What a server of a stage service takes at once
+# batchlimits.py -- Capacity and call times of one server of a stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a server of a stage service takes at once."""
+"""Capacity and call times of one server of a stage service."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchLimits:
-    """What one backend server of a stage service takes, and about how long it needs.
+    """Capacity of one backend server of a stage service, and the approximate time of its calls.
 
     Attributes:
-        calls: How many calls it works on at once.
-        waiting: How many calls may wait there.
-        pieces: The most pieces in one call.
-        call_ms: What a call takes before its first piece.
-        piece_ms: About what each piece adds; it differs by stage.
-        room_mb: The room for results, in megabytes.
-        kept_ms: How long a result is kept.
-        link_mbps: The bandwidth of its link in Mbit/s, or 0 where that is not known.
+        calls: The number of calls it runs concurrently.
+        waiting: The number of calls that may wait there.
+        pieces: The maximum number of pieces in a call.
+        call_ms: The fixed time of a call in milliseconds.
+        piece_ms: The approximate time that each piece adds, in milliseconds; it differs by stage.
+        room_mb: The memory for results, in megabytes.
+        kept_ms: How long a result is kept, in milliseconds.
+        link_mbps: The bandwidth of its link in Mbit/s, or 0 if unknown.
     """
 
     calls: int
@@ -37,9 +37,9 @@
 
     @property
     def room_bytes(self) -> float:
-        """Return the room for results in bytes."""
+        """Return the memory for results in bytes."""
         return self.room_mb * BYTES_PER_MB
 
     def expected_ms(self, pieces: int) -> float:
-        """Return about how long a call with some pieces takes."""
+        """Return the approximate time of a call with a number of pieces, in milliseconds."""
         return self.call_ms + pieces * self.piece_ms
--- a/packages/core/src/mountladder/forwarding/batchrun.py
+++ b/packages/core/src/mountladder/forwarding/batchrun.py
@@ -1,8 +1,8 @@
-# batchrun.py -- A batch of pieces at a server
+# batchrun.py -- Sends one batch of pieces to a server and handles its outcome
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A batch of pieces at a server."""
+"""Sends one batch of pieces to a server and handles its outcome."""
 
 from __future__ import annotations
 
@@ -28,31 +28,32 @@
 if TYPE_CHECKING:
     from mountladder.forwarding.batcher import Batcher
 
-# Pieces of a call that takes this many times its expected time and a little are sent to another
-# server as well; the first result counts. A server that is slow is 4 to 5 times slower (the users'
-# list of troubles), and goes on with a call that is given up.
+# A call that takes longer than this multiple of its expected time plus a margin is hedged: its
+# pieces go to another server too, and the first result counts. A slow server is 4 to 5 times slower
+# and continues with a call that its caller has abandoned.
 SECOND_CALL = 1.6
 SECOND_CALL_MS = 100.0
-# A call is given up after this many times its expected time and a little; servers that are dark
-# never answer.
+# A call times out after this multiple of its expected time plus a margin; an unreachable or
+# hung server never answers.
 PATIENCE = 5.0
 PATIENCE_MS = 250.0
-# How often one piece is sent at most; the retry budget of the service usually ends it before.
+# Maximum number of times that a piece is sent; the retry budget of the service is usually spent
+# before.
 MOST_TRIES = 4
-# A server that refused since it is full is asked again after about a third of a call.
+# Pause after a server refused a call because it is full: about a third of a call.
 FULL_PAUSE_MS = 60.0
-# A server without room for results gets some within about this time, as results are given up.
+# Pause after a server had no memory left for results; releases free some within about this time.
 NO_ROOM_PAUSE_MS = 80.0
 
 
 class BatchRun:
-    """Sends a batch of pieces to a server, and settles or repeats each of them.
+    """Sends a batch of pieces to a server, and settles or requeues each of them.
 
     Args:
-        home: The batcher that they come from.
+        home: The batcher of the pieces.
         state: The server.
         batch: The pieces.
-        limits: What the server takes at once.
+        limits: The server's batch limits.
         now: The clock's time.
     """
 
@@ -74,7 +75,7 @@
         self.call = StageCallState(now, expected_ms, len(batch))
 
     def run(self) -> None:
-        """Make the call, and settle or repeat its pieces."""
+        """Make the call, then settle or requeue its pieces."""
         pieces = [progress.job.piece(fragment) for progress, fragment in self.batch]
         for progress, fragment in self.batch:
             progress.tries[fragment] += 1
@@ -95,7 +96,7 @@
             self.home.pump()
 
     def send_twice(self) -> None:
-        """Let the pieces of a call that takes long wait for another server as well."""
+        """Requeue the unsettled pieces of an overdue call, so that another server runs them too."""
         now = self.home.clock.now()
         self.state.timed((now - self.call.started) / self.limits.expected_ms(len(self.batch)), now)
         self.home.servers.mark_overdue(self.state, self.call)
@@ -116,7 +117,7 @@
         self.home.pump()
 
     def succeeded(self, results: Sequence[PieceResult]) -> None:
-        """Settle the pieces of a call that was answered."""
+        """Handle the results of a call that was answered."""
         now = self.home.clock.now()
         elapsed_ms = now - self.call.started
         self.state.breaker.succeed()
@@ -135,7 +136,7 @@
             waiting=len(self.home.queue),
             elapsed_ms=round(elapsed_ms),
             slowness=round(self.state.slowness, 2),
-            room_used=round(self.home.room.taken(self.state.server.name, now)),
+            result_bytes_used=round(self.home.room.taken(self.state.server.name, now)),
             failed=failed,
             requests=sorted({progress.job.request for progress, _ in self.batch}),
         )
@@ -145,7 +146,7 @@
             self.take_result(waiting, result, now)
 
     def take_result(self, waiting: Waiting, result: PieceResult, now: float) -> None:
-        """Settle a piece, or let it wait again."""
+        """Settle or requeue a piece by its result."""
         progress, fragment = waiting
         if result.failure is None:
             self.home.twice.discard(waiting)
@@ -155,8 +156,8 @@
         else:
             self.home.room.keep(result.handle, server, size, now + self.limits.kept_ms)
         if result.failure is PieceFailure.NO_ROOM:
-            # The server did not work on it, so that this is no repeat.
-            # Sizes are told about: a call that was to fill the room may miss it by a result or so.
+            # The server did not run the piece, so this counts as no retry. Result sizes are
+            # approximate: a call that was to fill the memory may exceed it by about one result.
             if self.spare > size:
                 self.home.room.found_full(server, self.spare, now, self.limits.kept_ms)
             self.home.queue.add_again(waiting)
@@ -169,7 +170,7 @@
             self.home.quarantine.answer(progress.job.fingerprint)
 
     def failed(self, error: StageError) -> None:
-        """Learn from a call without an answer, and send its pieces again."""
+        """Handle a call without an answer: update the server's state and requeue the pieces."""
         now = self.home.clock.now()
         if error.code in {Code.SERVER_FULL, Code.SERVER_REFUSED}:
             self.home.servers.pause(self.state, now + FULL_PAUSE_MS)
@@ -178,7 +179,7 @@
             self.state.leave(now)
             self.state.breaker.abandon()
         elif self.home.servers.has_answered_since(self.state, self.call):
-            # Only the answer was lost.
+            # The server has answered another call since, so only this answer was lost.
             self.state.breaker.abandon()
         else:
             self.state.breaker.trip(now)
@@ -201,12 +202,12 @@
                 self.home.room.lose(server, size, now + self.limits.kept_ms)
                 self.repeat(progress, fragment, PieceResult("", PieceFailure.FAILED))
             else:
-                # It did not reach a server that works on it, so that this is no repeat.
+                # No server has begun the piece, so this counts as no retry.
                 progress.tries[fragment] -= 1
                 self.home.queue.add_again((progress, fragment))
 
     def look_into(self, error: StageError) -> None:
-        """Find out whether the server has ended where the call to it broke."""
+        """Report the pieces of a broken call to the check for a crash of the server."""
         if not broke(error):
             return
         now = self.home.clock.now()
@@ -220,11 +221,11 @@
         self.home.ends.broke(self.state.server, lost)
 
     def repeat(self, progress: JobProgress, fragment: int, result: PieceResult) -> None:
-        """Let a piece wait again, where it may still be sent."""
+        """Requeue a piece, or settle it as failed if no attempt or retry budget is left."""
         if progress.has(fragment):
             return
         if (progress, fragment) in self.home.twice:
-            # It is under way at another server, whose failure is not followed by another one.
+            # Its other copy is still queued or running; only a failure of that one is retried.
             self.home.twice.discard((progress, fragment))
             return
         if progress.tries[fragment] < MOST_TRIES and self.home.budget.spend():
--- a/packages/core/src/mountladder/forwarding/expectation.py
+++ b/packages/core/src/mountladder/forwarding/expectation.py
@@ -1,8 +1,8 @@
-# expectation.py -- How long a request is expected to take
+# expectation.py -- Expected time of a request until its first event
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How long a request is expected to take."""
+"""Expected time of a request until its first event."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """How long a request is expected to take to its first event.
+    """Expected time of a request until its first event.
 
     Attributes:
-        stages_ms: What its stages take if nothing else waits.
-        reading_ms: What its prompt takes after them.
-        waiting_ms: By how much the pieces of others that wait delay its stages.
-        usual_ms: What a usual request of its route takes if nothing waits.
-        factor: What requests of its route took over what was expected.
-        gives_way: Whether it cannot be on time and its stages give way to all that can.
+        stages_ms: The time of its stages without waits for the pieces of others.
+        reading_ms: The time that its prompt takes after the stages.
+        waiting_ms: The delay of its stages by waiting pieces of others.
+        usual_ms: The usual time of a request of its route without waits.
+        factor: The ratio of actual to expected time on its route.
+        gives_way: Whether it can't be on time and its stages are queued behind all that can.
     """
 
     stages_ms: float
@@ -31,21 +31,21 @@
 
     @property
     def own_ms(self) -> float:
-        """Return what it takes by itself, as it is worked out, in milliseconds."""
+        """Return its expected time without waits, uncorrected by the factor, in milliseconds."""
         return self.stages_ms + self.reading_ms
 
     @property
     def ms(self) -> float:
-        """Return the expected time, in milliseconds."""
+        """Return its expected time in milliseconds."""
         return (self.own_ms + self.waiting_ms) * self.factor
 
     @property
     def route_ms(self) -> float:
-        """Return the time that a usual request of its route would take now, in milliseconds."""
+        """Return the expected time of a usual request of its route now, in milliseconds."""
         return (self.usual_ms + self.waiting_ms) * self.factor
 
     def fields(self) -> dict[str, float | bool]:
-        """Return what a log line tells of it."""
+        """Return its fields in log lines."""
         return {
             "expected_ms": round(self.ms),
             "stages_ms": round(self.stages_ms),
--- a/packages/core/src/mountladder/forwarding/fetchtime.py
+++ b/packages/core/src/mountladder/forwarding/fetchtime.py
@@ -1,52 +1,52 @@
-# fetchtime.py -- When model servers have fetched the results that a request needs
+# fetchtime.py -- Estimates when model servers have fetched the stage results of a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""When model servers have fetched the results that a request needs."""
+"""Estimates when model servers have fetched the stage results of a request."""
 
 from __future__ import annotations
 
 from mountladder.forwarding.linktime import link_ms
 
-# From sending a request until its server has asked for the results: some steps of an engine and
-# the way there. Three times as much buys as much within the spread.
+# Minimum time from sending a request until its server has asked for the results: the network delay
+# and a few engine steps. A value three times as large gave no measurable difference.
 LEAST_MS = 40.0
-# The link of the server that made them also carries the results of others.
+# Multiple of the transfer time, since the link of the server that holds the results is shared.
 SHARED_LINK = 3.0
-# After a result was given up too early the wait is doubled, and shrinks slowly afterwards.
+# The wait doubles when a result was released too early, and then decays slowly.
 LONGER = 2.0
 SHORTER = 0.98
 MOST_FACTOR = 32.0
 
 
 class FetchTime:
-    """Learns how long after a request was sent its server still needs the results of stages.
+    """Learns how long the stage results of a request must be kept after it was sent.
 
-    A server fetches them before it reads the prompt. Results that are given up then, and not only
-    at the first event, leave their room to others half a second sooner in a burst, where room is
-    what binds.
+    A server fetches them before it reads the prompt. Releasing them then, rather than at the first
+    event, frees their memory half a second sooner in a burst, when memory is the bottleneck.
 
     Attributes:
-        factor: How many times the least wait is waited.
+        factor: The learned multiple of the minimum wait.
     """
 
     def __init__(self) -> None:
         self.factor = 1.0
 
     def wait_ms(self, size: float, link_mbps: float) -> float:
-        """Return how long after the sending the results of a request are kept.
+        """Return how long the results of a request are kept after it was sent, in milliseconds.
 
         Args:
-            size: The bytes of all of them.
-            link_mbps: The bandwidth of the links of the servers that made them, or 0.
+            size: Their total size in bytes.
+            link_mbps: The bandwidth of the links of the servers that made them in Mbit/s, or 0 if
+                unknown.
         """
         moving_ms = SHARED_LINK * link_ms(size, link_mbps) if link_mbps else 0.0
         return self.factor * (LEAST_MS + moving_ms)
 
     def fetched(self) -> None:
-        """Learn that a server had what it needed."""
+        """Record that a server fetched the results in time."""
         self.factor = max(1.0, SHORTER * self.factor)
 
     def too_early(self) -> None:
-        """Learn that results were given up before a server had fetched them."""
+        """Record that results were released before a server had fetched them."""
         self.factor = min(MOST_FACTOR, LONGER * self.factor)
--- a/packages/core/src/mountladder/forwarding/jobprogress.py
+++ b/packages/core/src/mountladder/forwarding/jobprogress.py
@@ -1,8 +1,8 @@
-# jobprogress.py -- How far a stage of a request has come
+# jobprogress.py -- Progress of one stage of a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How far a stage of a request has come."""
+"""Progress of one stage of a request."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class JobProgress:
-    """How far a stage of a request has come.
+    """Progress of one stage of a request.
 
     Args:
         job: The pieces.
         done: Called once with the results of all pieces, in their order.
-        since: When the pieces began to wait, in the clock's milliseconds.
+        since: When the pieces were queued, in the clock's milliseconds.
 
     Attributes:
         results: The results so far, by the number of the piece.
-        tries: How often each piece was sent.
-        begun: Whether any piece was taken to be sent.
-        ended: Whether the results were handed over, or are not wanted any more.
+        tries: How often each piece was sent, by its number.
+        begun: Whether any piece was put into a batch.
+        ended: Whether the results were passed to done, or the stage was withdrawn.
     """
 
     def __init__(self, job: StageJob, done: Done, since: float) -> None:
@@ -41,11 +41,11 @@
         self.begun = False
 
     def has(self, fragment: int) -> bool:
-        """Tell whether a piece needs no result any more."""
+        """Return whether a piece needs no result any more."""
         return self.ended or fragment in self.results
 
     def settle(self, fragment: int, result: PieceResult) -> None:
-        """Take in the result of one piece; a failed one ends the whole stage."""
+        """Record the result of one piece; a failure ends the whole stage."""
         if self.has(fragment):
             return
         self.results[fragment] = result
--- a/packages/core/src/mountladder/forwarding/lending.py
+++ b/packages/core/src/mountladder/forwarding/lending.py
@@ -1,8 +1,8 @@
-# lending.py -- Which data centre takes pieces that would wait long in their own
+# lending.py -- Chooses a data centre for pieces that would wait long in their own
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which data centre takes pieces that would wait long in their own."""
+"""Chooses a data centre for pieces that would wait long in their own."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 from mountladder.forwarding.piecequeue import FAR_PATIENCE_MS
 from mountladder.forwarding.stagejob import StageJob
 
-# Pieces go elsewhere where they begin sooner by this much, a call of the stage services in use.
-# With half of that data centres that were equally busy sent each other a quarter of their stages,
-# on figures that are a heartbeat old, and results crossed twice as often.
+# Pieces are sent to another data centre only if they start sooner there by at least this, about one
+# call of a stage service. With half as much, equally busy data centres exchanged a quarter of their
+# stages on backlogs that were a heartbeat old, and twice as many results crossed.
 LEAST_GAIN_MS = 250.0
-# A backlog that was told so long ago says nothing any more: four heartbeats between places.
+# A reported backlog expires after this time: four heartbeats between coordinators.
 TOLD_MS = 1_000.0
 
 
 class Lending:
-    """Chooses between a data centre's own servers of a divided service and those of others.
+    """Chooses between the local servers of a divided service and those of other data centres.
 
-    It knows how long pieces wait elsewhere by what the places there tell, and adds what was sent
-    there since, so that not all pieces of a moment go to the same one.
+    Sending a stage to the coordinator of another data centre is called lending it. The expected
+    waits there are those that its coordinator reported last, plus the pieces sent there since, so
+    that simultaneous stages don't all go to the same data centre.
 
     Args:
         clock: The clock.
         datacentre: The data centre of this instance.
 
     Attributes:
-        told: The newest backlog of each service and data centre, with the time it came.
+        told: The newest backlog by service and data centre, and when it was received.
+        sent_ms: The wait added by pieces sent there since, by service and data centre.
     """
 
     def __init__(self, clock: Clock, datacentre: str) -> None:
@@ -42,28 +44,28 @@
         self.sent_ms: dict[tuple[str, str], float] = {}
 
     def hear(self, backlog: Backlog, datacentre: str) -> None:
-        """Take in how long pieces wait in another data centre."""
+        """Record the backlog that another data centre reports."""
         key = (backlog.service, datacentre)
         self.told[key] = (backlog, self.clock.now())
         self.sent_ms.pop(key, None)
 
     def wait_ms(self, service: str, datacentre: str, here: int) -> float:
-        """Return how long new pieces would wait in another data centre; infinite if unknown.
+        """Return the expected wait in another data centre in milliseconds; infinite if unknown.
 
         Args:
             service: The service.
             datacentre: The data centre.
-            here: Their place among others, one of PLACES.
+            here: The pieces' priority class, one of PLACES.
         """
         backlog, at = self.told.get((service, datacentre), (None, 0.0))
         age_ms = self.clock.now() - at
         if backlog is None or age_ms > TOLD_MS or not backlog.own_ms:
             return float("inf")
-        # What was told is not taken to be worked off: as much has come there meanwhile.
+        # The reported wait is not reduced by its age: about as many pieces have arrived since.
         return backlog.own_ms[here] + self.sent_ms.get((service, datacentre), 0.0)
 
     def least_waits(self, service: str, datacentres: Iterable[str]) -> tuple[float, ...]:
-        """Return how long new pieces would wait if they were lent, by their place."""
+        """Return the shortest expected waits if lent, plus the minimum gain, by priority class."""
         names = list(datacentres)
         return tuple(
             min((self.wait_ms(service, one, here) for one in names), default=float("inf"))
@@ -72,12 +74,12 @@
         )
 
     def choose(self, job: StageJob, own_ms: float, datacentres: Iterable[str]) -> str:
-        """Return the data centre that is to take the pieces of a stage; empty for this one.
+        """Return the data centre to send the pieces of a stage to; empty for this one.
 
         Args:
             job: The pieces.
-            own_ms: How long they would wait here.
-            datacentres: Those whose places can be reached.
+            own_ms: Their expected wait in this data centre, in milliseconds.
+            datacentres: Those whose coordinators can be reached.
         """
         here = job.place(self.clock.now())
         waits = {one: self.wait_ms(job.service, one, here) for one in datacentres}
@@ -91,12 +93,12 @@
         return best if waits[best] + least_ms < own_ms else ""
 
     def lend(self, job: StageJob, datacentre: str, piece_ms: float) -> None:
-        """Record that pieces are sent to another data centre.
+        """Add the pieces of a stage to the expected wait of the data centre that they are sent to.
 
         Args:
             job: The pieces.
-            datacentre: Where they go.
-            piece_ms: By how much each lengthens the wait there.
+            datacentre: The data centre they are sent to.
+            piece_ms: How much each piece adds to the wait there, in milliseconds.
         """
         key = (job.service, datacentre)
         self.sent_ms[key] = self.sent_ms.get(key, 0.0) + job.pieces * piece_ms
--- a/packages/core/src/mountladder/forwarding/piece.py
+++ b/packages/core/src/mountladder/forwarding/piece.py
@@ -1,8 +1,8 @@
-# piece.py -- A piece of a stage
+# piece.py -- One piece of a stage, the unit of a batch
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A piece of a stage."""
+"""One piece of a stage, the unit of a batch."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """A piece of a stage of a request, the unit that servers of stage services work on.
+    """One piece of a stage of a request, the unit that servers of stage services run in batches.
 
     Attributes:
         request: The caller's id of the request.
         stage: The number of the stage in the request's route.
         fragment: The number of the piece in its stage.
-        key: What it works on, at stages that need no results of others.
-        inputs: The handles of all results it needs, at other stages.
-        deadline: When it is of no use any more, in the clock's milliseconds.
+        key: The input of a stage that depends on no other stage.
+        inputs: The handles of the results it needs, if its stage depends on others.
+        deadline: When its result is no longer useful, in the clock's milliseconds.
     """
 
     request: str
--- a/packages/core/src/mountladder/forwarding/piecequeue.py
+++ b/packages/core/src/mountladder/forwarding/piecequeue.py
@@ -1,8 +1,8 @@
-# piecequeue.py -- The pieces of one service that wait
+# piecequeue.py -- Queue of the pieces that wait for servers of one stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The pieces of one service that wait."""
+"""Queue of the pieces that wait for servers of one stage service."""
 
 from __future__ import annotations
 
@@ -17,67 +17,67 @@
 from mountladder.quarantine.quarantine import Quarantine
 from mountladder.routing.serverstate import ServerState
 
-# A request of the next rank goes first only if it is due this much sooner, so that when there is
-# not enough for all, those served are the more urgent ones: about half of the longest aims.
+# A request of the next lower priority goes first only if it is due this much sooner, so that in an
+# overload the more urgent requests are served: about half of the longest latency targets.
 RANK_MS = 1_200.0
-# How long pieces wait for a server of the data centre where their bytes lie or are needed, by the
-# rank of their request: what crosses costs about as much as the least urgent request is worth. As
-# much later may they begin at the place of that data centre.
+# How long pieces wait for a server of the data centre that holds or needs their data, by their
+# request's rank: a transfer between data centres costs about as much as the least urgent request is
+# worth. They may also start this much later at the coordinator of that data centre.
 FAR_PATIENCE_MS = (150.0, 250.0, 500.0)
-# Pieces with less time left than so many full calls do not wait for a near server: their own call
-# and about half of one that must end first. A late answer costs more than its bytes, while one
-# that is late anyway can wait.
+# Pieces with less time left than this many full calls (their own call, and about half of the one
+# before it) don't wait for a server of that data centre: a late answer costs more than a transfer.
+# Pieces that are late anyway can wait.
 FAR_SLACK = 1.5
 Waiting = tuple[JobProgress, int]
 
 
 class PieceQueue:
-    """The pieces of one service that wait, those first that are to be sent first.
+    """The waiting pieces of one service, in the order in which they are sent.
 
     Attributes:
-        waiting: The pieces, each as its stage's progress and its number in the stage.
+        waiting: The pieces, each as the progress of its stage and its number in the stage.
     """
 
     def __init__(self) -> None:
         self.waiting: list[Waiting] = []
 
     def __len__(self) -> int:
-        """Return how many pieces wait."""
+        """Return the number of waiting pieces."""
         return len(self.waiting)
 
     def add(self, progress: JobProgress) -> None:
-        """Let all pieces of a stage wait."""
+        """Queue all pieces of a stage."""
         self.waiting += [(progress, fragment) for fragment in range(progress.job.pieces)]
 
     def add_again(self, waiting: Waiting) -> None:
-        """Let a piece wait once more."""
+        """Queue a piece again."""
         self.waiting.append(waiting)
 
     def withdraw(self, progress: JobProgress) -> None:
-        """Drop the pieces of a stage."""
+        """Remove the pieces of a stage."""
         self.waiting = [one for one in self.waiting if one[0] is not progress]
 
     def take(self, batch: Sequence[Waiting]) -> None:
-        """Take pieces out that are being sent."""
+        """Remove the pieces of a batch that is sent."""
         chosen = set(map(id, batch))
         self.waiting = [one for one in self.waiting if id(one) not in chosen]
 
     def by_place(self, now: float) -> Counter[int]:
-        """Return how many pieces wait, by their place; new ones go before those that are late."""
+        """Return the number of waiting pieces by priority class; late pieces are in later ones."""
         return Counter(progress.job.place(now) for progress, _ in self.waiting)
 
     def oldest(self, now: float) -> float:
-        """Return since when the piece has waited that has waited longest; now where none waits."""
+        """Return when the longest-waiting piece was queued, or now if none waits."""
         return min((progress.since for progress, _ in self.waiting), default=now)
 
     def sort(self, now: float) -> None:
-        """Put the pieces first that are to be sent first."""
+        """Sort the pieces into the order in which they are sent."""
         self.waiting.sort(key=lambda one: self.order(one, now))
 
     def order(self, waiting: Waiting, now: float) -> tuple[bool, bool, int, float]:
-        """Return the sort key by which pieces are sent.
+        """Return the sort key of a piece.
 
-        A stage that is begun goes first, since its results take room until all of them are there.
+        Stages that have results come first, as these take up memory until the stage is complete.
         """
         progress = waiting[0]
         job = progress.job
@@ -86,7 +86,7 @@
         return not progress.results, late, urgency if late else 0, job.due + RANK_MS * urgency
 
     def drop_late(self, now: float) -> None:
-        """Settle pieces that are of no use any more."""
+        """Settle the pieces whose deadline has passed, or that need no result any more."""
         self.drop_unbegun(now)
         late = [one for one in self.waiting if one[0].has(one[1]) or one[0].job.deadline <= now]
         if not late:
@@ -97,7 +97,7 @@
             progress.settle(fragment, PieceResult("", PieceFailure.LATE))
 
     def drop_barred(self, quarantine: Quarantine) -> None:
-        """Settle the pieces under which servers have ended too often."""
+        """Settle the stages of requests that are quarantined for crashing servers."""
         if not quarantine.known:
             return
         barred = {
@@ -110,7 +110,7 @@
             progress.settle(fragment, PieceResult("", PieceFailure.QUARANTINED))
 
     def drop_unbegun(self, now: float) -> None:
-        """Give up stages of which nothing is begun when their callers were promised more."""
+        """Settle the stages that were not begun by the time at which they are given up."""
         hopeless = {
             id(progress): progress
             for progress, _ in self.waiting
@@ -128,13 +128,13 @@
         limits: BatchLimits,
         now: float,
     ) -> list[Waiting]:
-        """Return the first pieces that a server has room for and that may be made there.
+        """Return the first pieces that fit into a server's result memory and may run there.
 
         Args:
             state: The server.
-            used: How many bytes of its room for results are in use.
-            manned: The data centres that have servers in use.
-            limits: What a server takes at once.
+            used: How many bytes of its result memory are in use.
+            manned: The data centres that have usable servers.
+            limits: The server's batch limits.
             now: The clock's time.
         """
         room = limits.room_bytes - used
@@ -163,7 +163,7 @@
         limits: BatchLimits,
         now: float,
     ) -> bool:
-        """Tell whether pieces may be made in a server's data centre, or wait for another one."""
+        """Return whether pieces may run in a server's data centre rather than wait for another."""
         wanted = progress.job.datacentre
         if wanted in {"", state.server.datacentre} or wanted not in manned:
             return True
@@ -174,11 +174,12 @@
 
 
 def apart(batch: list[Waiting], quarantine: Quarantine) -> list[Waiting]:
-    """Return those of some pieces that may go in one call.
+    """Return the pieces of a batch that may share one call.
 
-    After a first end they travel as before: a server that crashes by itself leaves a call of
-    several requests, which would each take one of their own. After a second one they go alone, so
-    that it shows which of them is to blame, and only while nothing else of it is under way.
+    After a first crash the pieces of a request still share calls: a server that crashes for reasons
+    of its own breaks a call of several requests, and each would need a call of its own. After a
+    second crash a request's pieces get calls of their own, one at a time, which shows which request
+    is responsible.
     """
     if not quarantine.known:
         return batch
--- a/packages/core/src/mountladder/forwarding/piecerate.py
+++ b/packages/core/src/mountladder/forwarding/piecerate.py
@@ -1,8 +1,8 @@
-# piecerate.py -- How fast the servers of a stage service really work
+# piecerate.py -- Measures the throughput of a stage service while pieces wait
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How fast the servers of a stage service really work."""
+"""Measures the throughput of a stage service while pieces wait."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from mountladder.clocks.clock import Clock
 
-# Over which time pieces are counted: some seven full calls.
+# Time over which pieces are counted: about seven full calls.
 WINDOW_MS = 2_000.0
-# A rate is told only after pieces have waited for so long that several calls are counted.
+# A rate is reported only once pieces have waited this long, so that several calls are counted.
 LEAST_MS = 800.0
 
 
 class PieceRate:
-    """How many pieces a millisecond the servers of a service make while pieces wait for them.
+    """Throughput of a service's servers while pieces wait for them, in pieces per millisecond.
 
-    Room for results, far servers and stages that are begun keep calls from being full, so that
-    this is less than what the servers could make.
+    It is lower than with full calls: limited result memory, data locality and the priority of begun
+    stages keep calls from being full.
 
     Args:
         clock: The clock.
@@ -32,18 +32,18 @@
         self.crowded_since: float | None = None
 
     def add(self, pieces: int) -> None:
-        """Record that a call made some pieces."""
+        """Record the pieces of a completed call."""
         self.made.append((self.clock.now(), pieces))
 
     def watch(self, crowded: bool) -> None:
-        """Record whether pieces wait for longer than for the next free server."""
+        """Record whether pieces wait longer than until the next server is free."""
         if not crowded:
             self.crowded_since = None
         elif self.crowded_since is None:
             self.crowded_since = self.clock.now()
 
     def measured(self) -> float | None:
-        """Return the rate while pieces wait, in pieces a millisecond; None where none is known."""
+        """Return the throughput in pieces per millisecond, or None without enough data."""
         now = self.clock.now()
         while self.made and self.made[0][0] <= now - WINDOW_MS:
             self.made.popleft()
--- a/packages/core/src/mountladder/forwarding/pieceresult.py
+++ b/packages/core/src/mountladder/forwarding/pieceresult.py
@@ -1,8 +1,8 @@
-# pieceresult.py -- What became of a piece
+# pieceresult.py -- Result of one piece, or the reason why there is none
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What became of a piece."""
+"""Result of one piece, or the reason why there is none."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceResult:
-    """What became of a piece.
+    """Result of one piece, or the reason why there is none.
 
     Attributes:
-        handle: Where its result lies, or an empty string where there is none.
-        failure: Why there is none, or None.
-        datacentre: Where its result lies.
+        handle: Identifies the stored result; empty if there is none.
+        failure: Why there is no result, or None.
+        datacentre: The data centre that stores the result.
     """
 
     handle: str
--- a/packages/core/src/mountladder/forwarding/releaser.py
+++ b/packages/core/src/mountladder/forwarding/releaser.py
@@ -1,8 +1,8 @@
-# releaser.py -- Giving up results of stages
+# releaser.py -- Releases stage results at their servers in batches
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Giving up results of stages."""
+"""Releases stage results at their servers in batches."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from mountladder.forwarding.upstream import Upstream
 from mountladder.notices.notice import Heard
 
-# Results are given up in batches: soon enough that a server's room for results does not fill.
+# Releases are batched over this time, short enough that a server's result memory does not fill up.
 RELEASE_MS = 25.0
 
 
 class Releaser:
-    """Tells servers which results of stages are no longer needed, many in one call.
+    """Releases stage results at their servers, many in one call.
 
     Args:
         upstream: Calls the servers.
-        directory: Knows which servers are to get nothing; what they keep is left to lapse there.
+        directory: Lists the servers, and those that get no calls; results there are left to expire.
         clock: The clock.
-        heard: Told what answers say of their servers; see ForwardCall.
+        heard: Receives the notices that answers carry about their servers; see ForwardCall.
         freed: Called with the handles once the servers have dropped the results.
-        spared: Returns the addresses of servers that limit what they take, or want rest.
-        is_kept: Tells whether a result still takes up room.
+        spared: Returns the addresses of servers that limit their rate or asked for back-off.
+        is_kept: Returns whether a result still takes up memory.
 
     Attributes:
-        held: Handles of results at those, by address: giving them up takes one of the few requests
-            that such a server gets, or breaks its rest, so that they wait until there is need, or
-            lapse.
+        held: Handles of results at those servers, by address. Releasing them would use up one of
+            the few requests that such a server accepts, or violate its back-off, so they are held
+            back until memory runs short or they expire.
     """
 
     def __init__(
@@ -59,20 +59,20 @@
         self.cancel: Callable[[], None] | None = None
 
     def release(self, handles: Sequence[str]) -> None:
-        """Give up results soon."""
+        """Release results with the next batch."""
         self.handles += [handle for handle in handles if handle]
         if self.handles and self.cancel is None:
             self.cancel = self.clock.call_later(RELEASE_MS, self.flush)
 
     def flush(self) -> None:
-        """Give up what has been gathered."""
+        """Start the release of the current batch."""
         self.cancel = None
         handles, self.handles = self.handles, []
         if handles:
             gevent.spawn(self.free, handles)
 
     def free(self, handles: Sequence[str]) -> None:
-        """Give up results, and tell when that is done."""
+        """Release results, except at servers to be spared; call freed afterwards."""
         closed, spared = self.directory.closed, self.spared()
         given_up = self.take_back(spared)
         for handle in handles:
@@ -84,7 +84,7 @@
         self.free_now(given_up)
 
     def take_back(self, spared: frozenset[str]) -> list[str]:
-        """Return what was held back at servers not spared now, and forget what has lapsed."""
+        """Remove and return results held back at servers no longer spared; drop expired ones."""
         given_up: list[str] = []
         for address, handles in list(self.held.items()):
             left = [one for one in handles if self.is_kept(one)]
@@ -96,18 +96,18 @@
         return given_up
 
     def free_held(self, address: str) -> None:
-        """Give up what was held back at a server, where it is still there; in one call."""
+        """Release the unexpired results held back at a server, in one call."""
         handles = [one for one in self.held.pop(address, ()) if self.is_kept(one)]
         if handles:
             gevent.spawn(self.free_now, handles)
 
     def free_now(self, handles: Sequence[str]) -> None:
-        """Give up results whatever their servers take, and tell when that is done."""
+        """Release results regardless of limits and back-off; call freed afterwards."""
         by_address: dict[str, list[str]] = {}
         for handle in handles:
             by_address.setdefault(handle.partition("/")[0], []).append(handle)
         for address, freed in by_address.items():
-            # Results do not outlive a server that is not listed any more.
+            # A server that is no longer listed is gone, and its results with it.
             server = self.directory.listed_at.get(address)
             if server is not None:
                 self.upstream.free(server, freed, self.heard)
--- a/packages/core/src/mountladder/forwarding/resultroom.py
+++ b/packages/core/src/mountladder/forwarding/resultroom.py
@@ -1,8 +1,8 @@
-# resultroom.py -- The room for results at the servers of a stage service
+# resultroom.py -- Tracks the memory that results take up at the servers of a stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The room for results at the servers of a stage service."""
+"""Tracks the memory that results take up at the servers of a stage service."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
 
 class ResultRoom:
-    """What the results take up that one instance had made at the servers of a service.
+    """Memory used by the results that one instance had made at the servers of a service.
 
-    A result takes room from the start of its call until it is given up, or until the server drops
-    it some time after the call.
+    A result counts from the start of its call until it is released, or until the server expires it
+    some time after the call.
 
     Attributes:
         used: The bytes in use at each server, by its name.
-        foreign: What another instance seems to have had made at a server, in bytes, with the time
-            when that was found and when it is gone.
-        lost: The bytes of results whose handles never came, and when they are dropped.
+        results: Each known result by its handle: the server's name, its size in bytes, and when it
+            expires.
+        foreign: The size in bytes of results at a server that seem to be another instance's, with
+            the times when that was detected and when all of them have expired.
+        lost: The sizes in bytes of results whose handles were never received, and when they expire,
+            by the server's name.
     """
 
     def __init__(self) -> None:
@@ -29,10 +32,9 @@
         self.lost: dict[str, list[tuple[float, float]]] = {}
 
     def taken(self, server: str, now: float) -> float:
-        """Return how many bytes are taken to be in use at a server.
+        """Return the estimated number of bytes in use at a server.
 
-        What others had made there is given up little by little, as it is dropped at the latest
-        when it is as old as results get.
+        Results of other instances are assumed to disappear linearly until the last one expires.
         """
         known = self.used[server] + self.lost_bytes(server, now)
         size, since, until = self.foreign.get(server, (0.0, 0.0, 0.0))
@@ -42,48 +44,48 @@
         return known + size * (until - now) / (until - since)
 
     def lose(self, server: str, size: float, until: float) -> None:
-        """Record a result that may have been made, whose handle is not known."""
+        """Record a result that may have been made but whose handle is unknown."""
         self.lost.setdefault(server, []).append((size, until))
 
     def lost_bytes(self, server: str, now: float) -> float:
-        """Return how many bytes results without known handles take up at a server."""
+        """Return the size in bytes of the results with unknown handles at a server."""
         lost = [one for one in self.lost.pop(server, ()) if one[1] > now]
         if lost:
             self.lost[server] = lost
         return sum(size for size, _ in lost)
 
     def found_full(self, server: str, unknown: float, now: float, kept_ms: float) -> None:
-        """Record that a server had no room, though as far as was known here it had some.
+        """Record that a server had no free memory although some was expected.
 
         Args:
             server: The name of the server.
-            unknown: How many bytes were free there at the start of the call, as far as was known.
+            unknown: How many bytes were expected to be free after the call.
             now: The clock's time.
-            kept_ms: How long a result is kept.
+            kept_ms: How long a result is kept, in milliseconds.
         """
         if unknown > 0.0:
             self.foreign[server] = (unknown, now, now + kept_ms)
 
     def reserve(self, server: str, size: float) -> None:
-        """Record that a call begins whose results will take room."""
+        """Reserve memory for a result of a call that begins."""
         self.used[server] += size
 
     def give_back(self, server: str, size: float) -> None:
-        """Record that a piece of a call has no result."""
+        """Cancel the reservation of a piece that has no result."""
         self.used[server] = max(0.0, self.used[server] - size)
 
     def keep(self, handle: str, server: str, size: float, until: float) -> None:
-        """Record a result, and when the server drops it by itself."""
+        """Record a result and when it expires."""
         self.results[handle] = (server, size, until)
 
     def release(self, handle: str) -> None:
-        """Record that a result is given up."""
+        """Record that a result was released."""
         server, size, _ = self.results.pop(handle, ("", 0.0, 0.0))
         if server:
             self.give_back(server, size)
 
     def drop_old(self, now: float) -> None:
-        """Forget results that their servers have dropped."""
+        """Remove the results that have expired."""
         old = [handle for handle, (_, _, until) in self.results.items() if until <= now]
         for handle in old:
             self.release(handle)
--- a/packages/core/src/mountladder/forwarding/routestage.py
+++ b/packages/core/src/mountladder/forwarding/routestage.py
@@ -1,8 +1,8 @@
-# routestage.py -- Work that is done before a request can run
+# routestage.py -- One stage of a route, as configured
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Work that is done before a request can run."""
+"""One stage of a route, as configured."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteStage:
-    """Work that is done before a request can run, in pieces.
+    """One stage of a route: work that is done in pieces before the request itself is sent.
 
     Attributes:
-        service: The service whose backend servers do it.
-        after: The numbers of the stages whose results it needs.
-        result_bytes: About how large the result of one piece is.
+        service: The service whose backend servers run it.
+        after: The numbers of the stages it depends on.
+        result_bytes: The approximate size of the result of one piece.
     """
 
     service: str
--- a/packages/core/src/mountladder/forwarding/stagebacklogs.py
+++ b/packages/core/src/mountladder/forwarding/stagebacklogs.py
@@ -1,8 +1,8 @@
-# stagebacklogs.py -- How long pieces wait, here and where others told
+# stagebacklogs.py -- Expected waits at stage services, computed here or reported by other instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How long pieces wait, here and where others told."""
+"""Expected waits at stage services, computed here or reported by other instances."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 
 
 class StageBacklogs:
-    """Knows how long new pieces of each service are expected to wait where they meet.
+    """Reports the expected waits of new pieces at the coordinator of each service.
 
     Args:
         fleet: The other instances.
         batchers: The batchers of this instance, by their service.
-        batcher: Returns the batcher of a service, a new one where there is none.
-        lending: Knows how long pieces wait in other data centres.
+        batcher: Returns the batcher of a service, created if there is none.
+        lending: Holds the backlogs of other data centres.
         clock: The clock.
+
+    Attributes:
+        told: The newest backlog that another instance reported for a service, and when.
     """
 
     def __init__(
@@ -42,14 +45,14 @@
         self.told: dict[str, tuple[Backlog, float]] = {}
 
     def here(self) -> tuple[Backlog, ...]:
-        """Return how long pieces wait that meet on this instance."""
-        # Other data centres lend to this one also where it has had no such pieces itself.
+        """Return the backlogs of the services that this instance coordinates."""
+        # Divided services are included without local pieces too: other data centres may lend some.
         met = self.batchers.keys() | self.fleet.division.divided
         services = [one for one in sorted(met) if self.fleet.home(one) is None]
         return tuple(self.own(service) for service in services)
 
     def own(self, service: str) -> Backlog:
-        """Return how long pieces wait that meet on this instance, where it may lend them too."""
+        """Return the backlog of a service coordinated here, taking lending into account."""
         own = self.batcher(service).backlog()
         if not self.fleet.division.is_divided(service):
             return own
@@ -58,7 +61,7 @@
         return Backlog(service, waits, own.waits_ms)
 
     def take(self, backlog: Backlog, datacentre: str) -> None:
-        """Take in how long pieces wait that meet on another instance."""
+        """Record the backlog of a service that another instance coordinates."""
         if backlog.own_ms and datacentre != self.fleet.membership.me.datacentre:
             self.lending.hear(backlog, datacentre)
         else:
@@ -67,7 +70,7 @@
     def wait_ms(self, service: str, urgency: int, gives_way: bool = False) -> float:
         """Return how long new pieces of a service are expected to wait, in milliseconds.
 
-        What another instance told is taken to have been worked off since.
+        A wait that another instance reported is reduced by the time since the report.
         """
         here = place(urgency, gives_way)
         if self.fleet.home(service) is None:
--- a/packages/core/src/mountladder/forwarding/stagecallstate.py
+++ b/packages/core/src/mountladder/forwarding/stagecallstate.py
@@ -1,8 +1,8 @@
-# stagecallstate.py -- A call to a server of a stage service that is under way
+# stagecallstate.py -- A running call to a server of a stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A call to a server of a stage service that is under way."""
+"""A running call to a server of a stage service."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StageCallState:
-    """A call to a server of a stage service that is under way.
+    """A running call to a server of a stage service.
 
     Attributes:
-        started: When it was sent.
-        expected_ms: How long it is expected to take.
-        pieces: How many pieces it carries.
+        started: When it was sent, in the clock's milliseconds.
+        expected_ms: Its expected duration in milliseconds.
+        pieces: The number of pieces in it.
     """
 
     started: float
@@ -24,5 +24,5 @@
     pieces: int
 
     def left(self, now: float) -> float:
-        """Return how long it is expected to take from now on, in milliseconds."""
+        """Return the expected time until it completes, in milliseconds."""
         return max(0.0, self.started + self.expected_ms - now)
--- a/packages/core/src/mountladder/forwarding/stagedemand.py
+++ b/packages/core/src/mountladder/forwarding/stagedemand.py
@@ -1,8 +1,8 @@
-# stagedemand.py -- What is asked of a stage service
+# stagedemand.py -- Announced pieces and arrival rates of a stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is asked of a stage service."""
+"""Announced pieces and arrival rates of a stage service."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from mountladder.forwarding.stagenotice import StageNotice
 from mountladder.limits.rankrates import RankRates
 
-# Pieces that were announced and have not come by then are not expected any more.
+# An announcement expires after this time if its pieces have not arrived.
 ANNOUNCED_MS = 2_500.0
-# At least this part of the rate is taken to be left for the least urgent pieces: what is more
-# urgent goes before them only as far as it is due soon. With a tenth waits of 30 s were expected
-# that did not come, and requests were refused for them.
+# Minimum fraction of the throughput that is assumed to be left for the least urgent pieces, since
+# more urgent ones go first only if they are due soon. With 0.1, expected waits reached 30 s that
+# never occurred, and requests were refused for them.
 LEAST_RATE = 0.35
 
 
 class StageDemand:
-    """What is asked of a stage service: pieces that will come, and how fast they come.
+    """Demand for a stage service: announced pieces and arrival rates.
 
     Args:
         clock: The clock.
@@ -35,19 +35,19 @@
         self.announced: dict[tuple[str, int], tuple[StageNotice, float]] = {}
 
     def announce(self, notice: StageNotice) -> None:
-        """Take in which pieces will come, so that they count as waiting already."""
+        """Record an announcement, so that its pieces count as waiting already."""
         key = (notice.request, notice.stage)
         self.announced.pop(key, None)
         if notice.pieces:
             self.announced[key] = (notice, self.clock.now() + ANNOUNCED_MS)
 
     def came(self, job: StageJob) -> None:
-        """Record that the pieces of a stage have come."""
+        """Record that the pieces of a stage have arrived."""
         self.announced.pop((job.request, job.stage), None)
         self.rates.add(job.place(self.clock.now()), job.pieces)
 
     def coming(self) -> Counter[int]:
-        """Return how many announced pieces are still to come, by their place."""
+        """Return the number of announced pieces that have not arrived, by priority class."""
         now = self.clock.now()
         self.announced = {key: one for key, one in self.announced.items() if one[1] > now}
         coming: Counter[int] = Counter()
@@ -56,17 +56,17 @@
         return coming
 
     def waits_ms(self, waiting: Counter[int], rate: float, busy_ms: float) -> tuple[float, ...]:
-        """Return how long new pieces are expected to wait, by their place.
+        """Return the expected waits of new pieces in milliseconds, by priority class.
 
         Args:
-            waiting: How many pieces wait, by their place.
-            rate: How many pieces a millisecond all servers can make.
-            busy_ms: How long until the first server is free.
+            waiting: The number of waiting pieces by priority class.
+            rate: The throughput of all servers in pieces per millisecond.
+            busy_ms: The time until the first server is free, in milliseconds.
         """
         ahead = waiting + self.coming()
         waits = []
         for here in PLACES:
-            # What comes in meanwhile and is more urgent goes first.
+            # More urgent pieces that arrive meanwhile go first.
             left = max(LEAST_RATE * rate, rate - self.rates.above(here))
             waits.append(busy_ms + sum(ahead[one] for one in range(here + 1)) / left)
         return tuple(waits)
--- a/packages/core/src/mountladder/forwarding/stagedispatch.py
+++ b/packages/core/src/mountladder/forwarding/stagedispatch.py
@@ -1,8 +1,8 @@
-# stagedispatch.py -- Handing stages to the instances where pieces meet
+# stagedispatch.py -- Sends stages to the instances that coordinate their services
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Handing stages to the instances where pieces meet."""
+"""Sends stages to the instances that coordinate their services."""
 
 from __future__ import annotations
 
@@ -33,22 +33,24 @@
 
 
 class StageDispatch:
-    """Hands each stage to the instance where the pieces of its service meet.
+    """Sends each stage to its service's coordinator, the instance that batches its pieces.
 
-    Where that instance falls silent its stages are handed to the next one. Two instances that both
-    take the pieces of a service cost batches that are less full, and nothing worse. Of a divided
-    service pieces meet in each data centre; the instance there hands those on that would wait long
-    to the one of another data centre.
+    If that instance becomes unreachable, its stages are sent to the next one. Two instances that
+    coordinate the same service for a time only make batches less full. A divided service has a
+    coordinator in each data centre, which lends stages that would wait long to the coordinator of
+    another data centre.
 
     Args:
         fleet: The other instances.
-        make_batcher: Makes the batcher of a service.
+        make_batcher: Creates the batcher of a service.
         clock: The clock.
 
     Attributes:
-        submissions: The stages that were handed over and are not done, by their numbers.
-        foreign: Those among them that a peer left to this instance, by its link and number.
-        lent_results: Where results were made that another data centre made for this one.
+        batchers: The batchers of this instance, by their service.
+        submissions: The stages that are not done, by their numbers.
+        foreign: Those of them that a peer handed over to this instance, by the link's id and the
+            peer's number.
+        lent_results: The origins of results that other data centres made for this one.
     """
 
     def __init__(self, fleet: Fleet, make_batcher: Callable[[str], Batcher], clock: Clock) -> None:
@@ -73,25 +75,25 @@
         fleet.peer_gone.append(self.drop)
 
     def batcher(self, service: str) -> Batcher:
-        """Return this instance's batcher of a service."""
+        """Return this instance's batcher of a service, created if there is none."""
         found = self.batchers.get(service)
         if found is None:
             found = self.batchers[service] = self.make_batcher(service)
         return found
 
     def limits(self, service: str) -> BatchLimits | None:
-        """Return what a server of a service takes at once, where the catalogue has it."""
+        """Return the batch limits of a service's servers, or None if the catalogue lacks it."""
         return self.batcher(service).limits()
 
     def submit(self, job: StageJob, done: Done) -> Submission:
-        """Hand over a stage; done is called once with the results of its pieces."""
+        """Submit a stage; done is called once with the results of its pieces."""
         submission = Submission(next(self.numbers), job, done)
         self.submissions[submission.number] = submission
         self.place(submission)
         return submission
 
     def place(self, submission: Submission) -> None:
-        """Hand a stage to the instance where its pieces meet, or take it on here."""
+        """Send a stage to its service's coordinator, or assign it here if this instance is that."""
         link = self.fleet.home(submission.job.service)
         if link is not None:
             self.hand_over(submission, link, lent=False)
@@ -99,14 +101,14 @@
             self.place_here(submission)
 
     def hand_over(self, submission: Submission, link: Link, lent: bool) -> None:
-        """Leave a stage to another instance."""
+        """Send a stage to another instance."""
         submission.home = link.peer.peer
         submission.lent = lent
         job = submission.job.shifted(-self.clock.now())
         self.fleet.send_later(link, StageOrder(submission.number, job, lent))
 
     def place_here(self, submission: Submission) -> None:
-        """Take on a stage whose pieces meet here, or lend it to another data centre."""
+        """Run a stage of a service coordinated here, or lend it to another data centre."""
         job = submission.job
         places = self.fleet.places(job.service) if self.is_divided(job.service) else {}
         there = self.lending_target(job, places)
@@ -117,11 +119,11 @@
             self.take_on(submission)
 
     def is_divided(self, service: str) -> bool:
-        """Tell whether a service's pieces meet in each data centre, not in one place for all."""
+        """Return whether a service has a coordinator in each data centre."""
         return self.fleet.division.is_divided(service)
 
     def lending_target(self, job: StageJob, places: Mapping[str, Link]) -> str:
-        """Return the data centre to lend a stage to, or an empty string."""
+        """Return the data centre to lend a stage to, or an empty string to run it here."""
         if not places:
             return ""
         batcher = self.batcher(job.service)
@@ -141,33 +143,33 @@
                 service=job.service,
                 pieces=job.pieces,
                 datacentre=there,
-                wanted=job.datacentre,
-                own_ms=own_ms if math.isinf(own_ms) else round(own_ms),
-                there_ms=round(self.lending.wait_ms(job.service, there, here)),
+                preferred=job.datacentre,
+                local_wait_ms=own_ms if math.isinf(own_ms) else round(own_ms),
+                remote_wait_ms=round(self.lending.wait_ms(job.service, there, here)),
             )
             self.lending.lend(job, there, piece_ms)
         return there
 
     def take_on(self, submission: Submission) -> None:
-        """Let the pieces of a stage wait for servers here."""
+        """Queue the pieces of a stage at this instance's batcher."""
         job = submission.job
         submission.home = ""
         submission.lent = False
 
         def settled(results: Results) -> None:
-            """Take in the results of this instance's own batcher."""
+            """Pass on the results, or release them if the stage was withdrawn."""
             if not self.settle(submission.number, results):
                 self.batcher(job.service).release(_handles(results))
 
         submission.progress = self.batcher(job.service).submit(job, settled)
 
     def settle(self, number: int, results: Results) -> bool:
-        """Hand the results of a stage to the request that waits for them, where it still does."""
+        """Pass on a stage's results; return False if it is done or withdrawn already."""
         submission = self.submissions.pop(number, None)
         if submission is None:
             return False
         if submission.moved:
-            # The instance that had it before may have begun it.
+            # The instance that had the stage before may have begun it.
             results = tuple(_certain(result) for result in results)
         if submission.lent:
             self.lent_results.remember(_handles(results), submission.home)
@@ -175,7 +177,7 @@
         return True
 
     def withdraw(self, submission: Submission) -> None:
-        """Drop a stage that is not wanted any more."""
+        """Withdraw a stage whose results are no longer needed."""
         if self.submissions.pop(submission.number, None) is None:
             return
         if submission.progress is not None:
@@ -185,18 +187,18 @@
             self.fleet.send_later(link, StageWithdrawal(submission.number))
 
     def announce(self, notice: StageNotice) -> None:
-        """Tell the instance where a service's pieces meet which ones will come."""
+        """Announce pieces to their service's coordinator."""
         self.hand(notice, lambda: self.batcher(notice.service).demand.announce(notice))
 
     def release(self, service: str, handles: Sequence[str]) -> None:
-        """Give up results of a service, at the instance where its pieces meet."""
+        """Release results of a service through its coordinator."""
         named = tuple(handle for handle in handles if handle)
         if not named:
             return
         self.hand(StageRelease(service, named), lambda: self.release_here(service, named))
 
     def hand(self, message: StageNotice | StageRelease, take: Callable[[], None]) -> None:
-        """Send a message to where its service's pieces meet, or take it in where that is here."""
+        """Send a message to its service's coordinator; call take if that is this instance."""
         link = self.fleet.home(message.service)
         if link is None:
             take()
@@ -204,15 +206,15 @@
             self.fleet.send_later(link, message)
 
     def take_notice(self, notice: StageNotice, link: Link) -> None:
-        """Take in which pieces another instance's request will send."""
+        """Handle an announcement of pieces from another instance."""
         self.batcher(notice.service).demand.announce(notice)
 
     def take_release(self, release: StageRelease, link: Link) -> None:
-        """Give up results that another instance does not need any more."""
+        """Handle the release of results by another instance."""
         self.release_here(release.service, release.handles)
 
     def release_here(self, service: str, handles: Sequence[str]) -> None:
-        """Give up results, those that were made for another data centre at the place there."""
+        """Release results; those that were lent out, through the coordinator that had them made."""
         for address, named in self.lent_results.sort_out(handles).items():
             link = self.fleet.links.get(address)
             if link is None:
@@ -221,7 +223,7 @@
                 self.fleet.send_later(link, StageRelease(service, tuple(named)))
 
     def move_from(self, address: str) -> None:
-        """Hand on the stages that an instance had which cannot be reached any more."""
+        """Reassign the stages of an instance that has become unreachable."""
         lost = [one for one in self.submissions.values() if one.home == address]
         if lost:
             log_message("stages-moved", instance=address, stages=len(lost))
@@ -230,7 +232,7 @@
             self.place(submission)
 
     def take_order(self, order: StageOrder, link: Link) -> None:
-        """Take on a stage that another instance leaves to this one."""
+        """Handle a stage that another instance hands over."""
         key = (id(link), order.number)
 
         def done(results: Results) -> None:
@@ -248,9 +250,9 @@
             self.place_here(submission)
 
     def drop(self, link: Link) -> None:
-        """Drop the stages of an instance that cannot be reached any more.
+        """Withdraw the stages of a peer that has become unreachable.
 
-        It hands them to another instance, or has ended; nobody would take their results.
+        It has reassigned them or has stopped, so nothing waits for their results here.
         """
         lost = [key for key in self.foreign if key[0] == id(link)]
         if lost:
@@ -259,11 +261,11 @@
             self.withdraw(self.foreign.pop(key))
 
     def take_outcome(self, outcome: StageOutcome, link: Link) -> None:
-        """Take in the results of a stage that was left to another instance."""
+        """Handle the results of a stage that was handed over to another instance."""
         self.backlogs.take(outcome.backlog, link.peer.datacentre)
         if self.settle(outcome.number, outcome.results):
             return
-        # Its withdrawal and these results were under way at the same time.
+        # The stage was withdrawn while these results were in flight.
         handles = _handles(outcome.results)
         if handles:
             self.fleet.send_later(link, StageRelease(outcome.backlog.service, handles))
@@ -273,7 +275,7 @@
         return self.backlogs.wait_ms(service, urgency, gives_way)
 
     def take_withdrawal(self, withdrawal: StageWithdrawal, link: Link) -> None:
-        """Drop a stage that the instance it came from does not want any more."""
+        """Handle the withdrawal of a stage by the instance that handed it over."""
         submission = self.foreign.pop((id(link), withdrawal.number), None)
         if submission is not None:
             self.withdraw(submission)
--- a/packages/core/src/mountladder/forwarding/stageflow.py
+++ b/packages/core/src/mountladder/forwarding/stageflow.py
@@ -1,8 +1,8 @@
-# stageflow.py -- The stages of a request before it can run
+# stageflow.py -- Runs the stages of one request in the order of their dependencies
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The stages of a request before it can run."""
+"""Runs the stages of one request in the order of their dependencies."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from mountladder.forwarding.submission import Submission
 from mountladder.quarantine.fingerprint import stage_fingerprint
 
-# A request none of whose stages is begun after so many aims is refused: its caller may come back
-# at a better time, and waits in vain no longer.
+# A request with no stage begun after this multiple of its latency target is refused, so that its
+# caller can retry later instead of waiting for an answer that would be late.
 GIVE_UP_AIMS = 2.0
-# Where a stage fetches or makes more than this, it is to be done in the data centre where the
-# bytes lie or are needed: results that cross data centres are priced by the gigabyte.
+# A stage that reads or makes more than this runs in the data centre that holds or needs the data:
+# transfers between data centres are charged by the gigabyte.
 LARGE_BYTES = 1_000_000.0
 _FAILURES = {
     PieceFailure.INPUT_GONE: Code.RESULT_GONE,
@@ -39,23 +39,26 @@
 
 
 class StageFlow:
-    """Runs the stages of one request, each as soon as the results it needs are there.
+    """Runs the stages of one request, each as soon as those it depends on are done.
 
     Args:
         request: The request.
         route: Its route.
-        deadline: When the stages are of no use any more.
-        urgency: The rank of the request, 0 first.
-        dispatch: Where stages are handed to.
+        deadline: When the results are no longer useful, in the clock's milliseconds.
+        urgency: The rank of the request; 0 is the most urgent.
+        dispatch: Runs the stages.
         clock: The clock.
-        may_refuse: Whether the request can still be refused, since nothing of it was begun before.
-        fingerprint: What all attempts at the request have in common, or empty.
-        promised_ms: Within which time from its arrival its answer is to begin; 0 where it is late
-            already and gives way to all that can be on time. None stands for the route's aim.
+        may_refuse: Whether the request can still be refused, as no earlier attempt began any of it.
+        fingerprint: The fingerprint of the request, equal for all its attempts, or empty.
+        promised_ms: The time from its arrival until its answer should begin; 0 if the request
+            gives way to those that can be on time, as it can't. None stands for the route's latency
+            target.
 
     Attributes:
-        handles: The results of each stage that is done, by its number.
-        places: The data centres where these results lie.
+        handles: The handles of the results of each completed stage, by its number.
+        places: The data centres that store these results, by the stage's number.
+        waiting: The submitted stages that are not done, by their number.
+        failure: The failure that ended the run, or None.
         begun: Whether any piece may have been worked on.
     """
 
@@ -92,13 +95,14 @@
 
     @property
     def gives_way(self) -> bool:
-        """Tell whether its stages go behind all that can be on time."""
+        """Return whether its stages are queued behind all that can be on time."""
         return self.promised_ms <= 0.0
 
     def run(self) -> tuple[str, ...]:
-        """Run every stage and return the handles that the request itself needs.
+        """Run all stages and return the handles of the results that the request needs.
 
         Raises:
+            RefusalError: No stage was begun in time.
             RunError: A stage failed, or the deadline passed.
         """
         self.announce()
@@ -113,25 +117,25 @@
         return self.inputs()
 
     def announce(self) -> None:
-        """Tell of the pieces that will come later."""
+        """Announce the pieces of all stages that depend on others."""
         for number, stage in enumerate(self.route.stages):
             if stage.after and self.times.has(number):
                 self.notice(number, self.request.pieces[number])
 
     def notice(self, number: int, pieces: int) -> None:
-        """Tell that pieces of a stage will come, or with 0 that they will not."""
+        """Announce pieces of a stage; 0 withdraws the announcement."""
         service = self.service(number)
         notice = StageNotice(self.request.id, number, service, pieces, self.urgency, self.gives_way)
         self.dispatch.announce(notice)
 
     def wait(self) -> None:
-        """Wait until a stage ends."""
+        """Wait until a stage completes or fails."""
         if len(self.handles) == len(self.route.stages):
             return
         in_time = self.clock.wait(self.changed, self.deadline - self.clock.now())
         if self.failure is PieceFailure.NOT_BEGUN:
             self.begun = False
-            raise RefusalError("no server took its stages in time", Code.DEADLINE_UNMEETABLE)
+            raise RefusalError("no server began a stage in time", Code.DEADLINE_UNMEETABLE)
         if self.failure is not None:
             code = _FAILURES.get(self.failure, Code.STAGE_FAILED)
             raise RunError(f"a stage failed: {self.failure.value}", code)
@@ -139,7 +143,7 @@
             raise RunError("the deadline passed during the stages", Code.DEADLINE_PASSED)
 
     def start_ready(self) -> None:
-        """Hand over each stage whose results it needs are there."""
+        """Start each stage whose dependencies are done."""
         for number, stage in enumerate(self.route.stages):
             if number in self.handles or number in self.waiting:
                 continue
@@ -148,11 +152,11 @@
                 self.start(number)
 
     def has_begun_others(self) -> bool:
-        """Tell whether any stage but one that was not begun may have been worked on."""
+        """Return whether any other stage is submitted or has results."""
         return bool(self.waiting) or any(self.handles.values())
 
     def start(self, number: int) -> None:
-        """Hand over one stage, or leave it out where it has no pieces."""
+        """Submit a stage, or mark it as done if it has no pieces."""
         pieces = self.request.pieces[number] if number < len(self.request.pieces) else 0
         if pieces == 0:
             self.handles[number] = ()
@@ -160,7 +164,7 @@
             self.changed.set()
             return
         if self.begun:
-            # From here on a refusal would not be true any more.
+            # A piece may have run already, so the request can no longer be refused as not executed.
             self.give_up = math.inf
         self.begun = True
         submission = self.dispatch.submit(
@@ -170,7 +174,7 @@
             self.waiting[number] = submission
 
     def job(self, number: int, pieces: int) -> StageJob:
-        """Return what is handed over for one stage."""
+        """Return the job of one stage."""
         stage = self.route.stages[number]
         inputs = tuple(handle for needed in stage.after for handle in self.handles[needed])
         due = self.request.arrived + self.promised_ms - finish_ms(self.request.prompt)
@@ -191,11 +195,11 @@
         )
 
     def stage_fingerprint(self, service: str) -> str:
-        """Return what all attempts at the request have in common at a stage service."""
+        """Return the fingerprint of the request at a stage service, or an empty string."""
         return stage_fingerprint(self.fingerprint, service) if self.fingerprint else ""
 
     def wanted(self, number: int, pieces: int) -> str:
-        """Return the data centre that a stage is to be done in, or an empty string for any."""
+        """Return the preferred data centre of a stage, or an empty string for any."""
         stage = self.route.stages[number]
         lying = [place for needed in stage.after for place in self.places[needed]]
         fetched = sum(
@@ -207,7 +211,7 @@
         return ""
 
     def site(self) -> str:
-        """Return the data centre where most bytes lie that the request fetches, where many do."""
+        """Return the data centre with most of the request's input, or empty if that is small."""
         sizes: Counter[str] = Counter()
         for number in self.route.last_stages():
             for place in self.places.get(number, ()):
@@ -216,19 +220,19 @@
         return place if size > LARGE_BYTES else ""
 
     def is_heavy(self, number: int) -> bool:
-        """Tell whether the request itself fetches large results of a stage."""
+        """Return whether the request itself fetches large results of a stage."""
         stage = self.route.stages[number]
         return number in self.route.last_stages() and stage.result_bytes > LARGE_BYTES
 
     def is_early(self, number: int) -> bool:
-        """Tell whether large results would only lie about while longer chains are under way."""
+        """Return whether a stage's large results would just wait for slower stages."""
         if not self.is_heavy(number):
             return False
         wait_ms = self.dispatch.wait_ms(self.service(number), self.urgency, self.gives_way)
         return self.others_ms(number) > wait_ms + self.times.stage_ms(number)
 
     def others_ms(self, number: int) -> float:
-        """Return about how long the other stages take yet, in milliseconds."""
+        """Return the approximate time until the other stages are done, in milliseconds."""
         open_ = (
             n
             for n in range(len(self.route.stages))
@@ -237,7 +241,7 @@
         return max((self.times.stage_ms(n) + self.times.ms_after(n) for n in open_), default=0.0)
 
     def ended(self, number: int, results: Results) -> None:
-        """Take in the results of a stage."""
+        """Record the results of a stage, or its failure."""
         self.waiting.pop(number, None)
         failures = [one.failure for one in results if one.failure is not None]
         if PieceFailure.NOT_BEGUN in failures and self.has_begun_others():
@@ -253,7 +257,7 @@
         self.changed.set()
 
     def release_used(self) -> None:
-        """Give up the results that no stage and not the request itself needs any more."""
+        """Release the results that neither a stage nor the request needs any more."""
         last = self.route.last_stages()
         for number, handles in self.handles.items():
             following = [n for n, one in enumerate(self.route.stages) if number in one.after]
@@ -266,18 +270,18 @@
         return tuple(h for number in self.route.last_stages() for h in self.handles[number])
 
     def link_mbps(self) -> float:
-        """Return the bandwidth of the slowest links that the request fetches over, or 0."""
+        """Return the lowest bandwidth of the links it fetches over in Mbit/s, or 0 if unknown."""
         services = (self.dispatch.limits(self.service(n)) for n in self.route.last_stages())
         known = [one.link_mbps for one in services if one is not None and one.link_mbps]
         return min(known, default=0.0)
 
     def result_bytes(self) -> float:
-        """Return how many bytes the request itself fetches."""
+        """Return the number of bytes that the request itself fetches."""
         last = self.route.last_stages()
         return sum(self.route.stages[n].result_bytes * len(self.handles.get(n, ())) for n in last)
 
     def withdraw(self) -> None:
-        """Drop what is not done, and give up every result."""
+        """Withdraw all open stages and announcements, and release all results."""
         for submission in list(self.waiting.values()):
             self.dispatch.withdraw(submission)
         for number, stage in enumerate(self.route.stages):
@@ -288,7 +292,7 @@
         self.release()
 
     def release(self) -> None:
-        """Give up every result."""
+        """Release all results."""
         for number, handles in self.handles.items():
             self.dispatch.release(self.service(number), handles)
         self.handles.clear()
--- a/packages/core/src/mountladder/forwarding/stageforecast.py
+++ b/packages/core/src/mountladder/forwarding/stageforecast.py
@@ -1,8 +1,8 @@
-# stageforecast.py -- Whether the stages of a request can be done in time
+# stageforecast.py -- Admits or refuses requests by the expected time of their stages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whether the stages of a request can be done in time."""
+"""Admits or refuses requests by the expected time of their stages."""
 
 from __future__ import annotations
 
@@ -21,23 +21,24 @@
 from mountladder.forwarding.stagedispatch import StageDispatch
 from mountladder.forwarding.stageflow import GIVE_UP_AIMS
 
-# A request is to be on time while the usual one of its route is expected within this many aims, by
-# its rank; requests that are worth least give way first.
+# A request counts as on time while a usual request of its route is expected to take at most this
+# multiple of the latency target, by rank; the least valuable requests give way first.
 LET_IN_AIMS = (1.0, 1.0, 0.95)
-# A request waits as long as this for the next free server while nothing else waits: less than half
-# of a call of the stage services in use. Who waits no longer need not give way: nobody would gain.
+# A wait up to this is normal with an empty queue, until the next server is free: less than half of
+# a call of a stage service. No other request would gain if a request with such a wait gave way.
 LEAST_WAIT_MS = 100.0
-# How fast the own time that is usual on a route is followed: over some twenty requests.
+# Weight of a new sample in the moving average of a route's usual time: about twenty requests.
 USUAL_WEIGHT = 0.05
-# What requests took over what was expected, at first a guess, then as learnt on each route; the
-# middle of what was seen is followed by small steps up and down.
+# Ratio of actual to expected time: the initial value, and the step by which each request moves its
+# route's ratio up or down, so that it tracks the median.
 FIRST_FACTOR = 1.25
 FACTOR_STEP = 0.01
 LEAST_FACTOR, MOST_FACTOR = 0.8, 2.0
-# First attempts come with their whole time; one with less than this part of it comes back.
+# A request that arrives with less than this fraction of its route's full deadline is a retry.
 FIRST_ATTEMPT = 0.97
-# When a refused request may come back: when the excess is worked off, within these limits; callers
-# wait a third of their time at most.
+# When a refused request may be retried: after a multiple of the time by which it would exceed its
+# latency target, within these limits and this fraction of the caller's remaining time; callers wait
+# at most a third of it.
 BACK_EXCESS = 2.0
 LEAST_BACK_MS = 800.0
 MOST_BACK_MS = 2_600.0
@@ -45,16 +46,16 @@
 
 
 class StageForecast:
-    """Refuses requests whose stages cannot be done in time, before any work is spent on them.
+    """Refuses requests whose stages can't be done in time, before any work is done for them.
 
     Args:
-        dispatch: Knows how long pieces wait.
+        dispatch: Returns the expected waits at stage services.
         follower: The catalogue in force.
 
     Attributes:
-        longest: The longest time that requests of each route came with.
-        factors: What requests of each route took over what was expected.
-        usual_ms: What requests of each route usually take if nothing waits.
+        longest: The longest time that a request of each route was allowed, in milliseconds.
+        factors: The ratio of actual to expected time of each route.
+        usual_ms: The usual time of a request of each route without waits, in milliseconds.
     """
 
     def __init__(self, dispatch: StageDispatch, follower: CatalogueFollower) -> None:
@@ -65,7 +66,7 @@
         self.usual_ms: dict[str, float] = {}
 
     def age_ms(self, request: ForwardRequest, route: Route) -> float:
-        """Return how long ago the caller first tried, as far as its remaining time tells."""
+        """Return the time since the caller's first attempt in milliseconds, 0 if this is it."""
         longest = max(self.longest.get(route.name, 0.0), request.allowed_ms)
         self.longest[route.name] = longest
         back = request.allowed_ms < FIRST_ATTEMPT * longest
@@ -74,13 +75,15 @@
     def admit(
         self, request: ForwardRequest, route: Route, urgency: int, age_ms: float
     ) -> Expectation:
-        """Let a request in and return how long it is expected to take; see foresee and check."""
+        """Admit a request and return its expected time; see foresee and check."""
         expectation = self.foresee(request, route, urgency, age_ms)
         told = expectation.fields() | {"request": request.id, "route": route.name}
         try:
             self.check(expectation, request, route)
         except RefusalError as error:
-            log_message("turned-away", back_ms=round(error.retry_after_ms or 0.0), **told)
+            log_message(
+                "request-refused", retry_after_ms=round(error.retry_after_ms or 0.0), **told
+            )
             raise
         log_message("let-in", comes_back=age_ms > 0.0, **told)
         return expectation
@@ -88,16 +91,16 @@
     def foresee(
         self, request: ForwardRequest, route: Route, urgency: int, age_ms: float
     ) -> Expectation:
-        """Return how long a request is expected to take, and whether it gives way to others.
+        """Return the expected time of a request, and whether it gives way to others.
 
-        All requests of a route that are to be on time may wait equally long, so that in an overload
-        nobody has to give way for the time that it takes by itself.
+        The decision uses the usual time of the route rather than the request's own: all requests of
+        a route may wait equally long, and in an overload none gives way for being large.
 
         Args:
             request: The request.
             route: Its route.
             urgency: Its rank.
-            age_ms: How long ago its caller first tried.
+            age_ms: The time since its caller's first attempt, in milliseconds.
         """
         expectation = self.expect(request, route, urgency)
         self.learn_usual(route, expectation.own_ms)
@@ -108,41 +111,42 @@
         return self.expect(request, route, urgency, gives_way=True)
 
     def check(self, expectation: Expectation, request: ForwardRequest, route: Route) -> None:
-        """Let a request in, or refuse it with the time when there may be room for it.
+        """Refuse a request that is not expected to be answered in time.
 
         Args:
-            expectation: How long it is expected to take.
+            expectation: Its expected time.
             request: The request.
             route: Its route.
 
         Raises:
-            RefusalError: It is not expected to be answered before its deadline.
+            RefusalError: It is not expected to be answered before its deadline, or gives way and
+                would be given up first; carries the time after which to retry.
         """
         in_time = expectation.ms <= min(request.allowed_ms, route.timeout_ms)
         if expectation.gives_way:
-            # It would be given up by then.
+            # Its stages would be given up before.
             in_time = in_time and expectation.route_ms <= GIVE_UP_AIMS * route.aim_ms
         if in_time:
             return
         back_ms = self.back_ms(request, route, expectation.ms)
-        detail = f"expected {expectation.ms:.0f} ms, aim {route.aim_ms:.0f} ms"
+        detail = f"expected {expectation.ms:.0f} ms, latency target {route.aim_ms:.0f} ms"
         raise RefusalError(detail, Code.DEADLINE_UNMEETABLE, retry_after_ms=back_ms)
 
     def back_ms(self, request: ForwardRequest, route: Route, expected_ms: float) -> float:
-        """Return when a request that is refused may come back, in milliseconds."""
+        """Return the time after which a refused request may be retried, in milliseconds."""
         back_ms = max(LEAST_BACK_MS, BACK_EXCESS * (expected_ms - route.aim_ms))
         return min(back_ms, MOST_BACK_MS, BACK_PART * request.allowed_ms)
 
     def expect(
         self, request: ForwardRequest, route: Route, urgency: int, gives_way: bool = False
     ) -> Expectation:
-        """Return how long a request is expected to take to its first event.
+        """Return the expected time of a request until its first event.
 
         Args:
             request: The request.
             route: Its route.
             urgency: Its rank.
-            gives_way: Whether its pieces give way to all that can be on time.
+            gives_way: Whether its pieces are queued behind all that can be on time.
         """
         stages = range(len(route.stages))
         reading_ms = finish_ms(request.prompt)
@@ -156,12 +160,12 @@
         return Expectation(alone_ms, reading_ms, waiting_ms, usual_ms, factor, gives_way)
 
     def learn_usual(self, route: Route, own_ms: float) -> None:
-        """Learn from what one more request takes by itself."""
+        """Update the usual time of a route with a request's time without waits."""
         usual_ms = self.usual_ms.get(route.name, own_ms)
         self.usual_ms[route.name] = usual_ms + USUAL_WEIGHT * (own_ms - usual_ms)
 
     def learn(self, route: Route, expected_ms: float, elapsed_ms: float) -> None:
-        """Learn from the time to the first event of a request that was let in."""
+        """Update a route's ratio with an admitted request's actual time to its first event."""
         factor = self.factors.get(route.name, FIRST_FACTOR)
         factor += FACTOR_STEP if elapsed_ms > expected_ms else -FACTOR_STEP
         self.factors[route.name] = min(MOST_FACTOR, max(LEAST_FACTOR, factor))
@@ -169,13 +173,13 @@
     def stage_ms(
         self, request: ForwardRequest, route: Route, number: int, waits: Sequence[float] = ()
     ) -> float:
-        """Return the expected time until a stage is done, those before it included.
+        """Return the expected time until a stage and those before it are done, in milliseconds.
 
         Args:
             request: The request.
             route: Its route.
-            number: The stage.
-            waits: How long new pieces of each stage wait; without them, as if nothing waited.
+            number: The number of the stage.
+            waits: The expected waits of new pieces of each stage in milliseconds; empty for none.
         """
         stage = route.stages[number]
         before = (self.stage_ms(request, route, one, waits) for one in stage.after)
@@ -184,7 +188,7 @@
         service = self.follower.service(stage.service)
         if not pieces or service is None or service.batch is None:
             return start_ms
-        # What waits or is announced is worked off while the stages before are under way.
+        # The queue of this stage shrinks while the stages before it run.
         free_ms = waits[number] if waits else 0.0
         call_ms = service.batch.expected_ms(min(pieces, service.batch.pieces))
         return max(start_ms, free_ms) + call_ms
--- a/packages/core/src/mountladder/forwarding/stagejob.py
+++ b/packages/core/src/mountladder/forwarding/stagejob.py
@@ -20,17 +20,19 @@
     Attributes:
         request: The caller's id of the request.
         stage: The number of the stage in the request's route.
-        service: The service that works on it.
-        pieces: How many pieces it has.
-        key: What it works on, at stages that need no results of others.
-        inputs: The handles of all results it needs, at other stages.
-        deadline: When it is of no use any more, in the clock's milliseconds.
-        due: When it has to be done for the answer to be on time.
-        urgency: The rank of its request, 0 first.
-        result_bytes: About how large the result of one piece is.
-        give_up: When it is given up if none of it is begun, in the clock's milliseconds.
-        datacentre: Where its results are needed, or an empty string where that does not matter.
-        fingerprint: What all attempts at the request have in common at the service, or empty.
+        service: The service that runs it.
+        pieces: The number of its pieces.
+        key: The input of a stage that depends on no other stage.
+        inputs: The handles of the results it needs, if it depends on other stages.
+        deadline: When its results are no longer useful, in the clock's milliseconds.
+        due: When it must be done for the answer to be on time, in the clock's milliseconds.
+        urgency: The rank of its request; 0 is the most urgent.
+        result_bytes: The approximate size of the result of one piece.
+        datacentre: The preferred data centre to run in, which holds or needs much of its data, or
+            an empty string for any.
+        give_up: When it is given up if none of its pieces is begun, in the clock's milliseconds.
+        fingerprint: The fingerprint of the request at this service, equal for all its attempts, or
+            empty.
     """
 
     request: str
@@ -52,15 +54,15 @@
         return Piece(self.request, self.stage, fragment, self.key, self.inputs, self.deadline)
 
     def gives_way(self, now: float) -> bool:
-        """Tell whether it goes behind all that can be on time, since it is late already."""
+        """Return whether it can't be on time, so that it is queued behind all that can."""
         return self.due < now
 
     def place(self, now: float) -> int:
-        """Return the place of its pieces in a queue, one of PLACES."""
+        """Return the priority class of its pieces, one of PLACES."""
         return place(self.urgency, self.gives_way(now))
 
     def shifted(self, by_ms: float) -> StageJob:
-        """Return the same with other times, such as relative ones to be sent to a peer."""
+        """Return a copy with its times shifted, such as relative times to send to a peer."""
         return replace(
             self,
             deadline=self.deadline + by_ms,
--- a/packages/core/src/mountladder/forwarding/stagenotice.py
+++ b/packages/core/src/mountladder/forwarding/stagenotice.py
@@ -1,8 +1,8 @@
-# stagenotice.py -- Pieces that will come to a stage service
+# stagenotice.py -- Message that announces pieces to a stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Pieces that will come to a stage service."""
+"""Message that announces pieces to a stage service."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StageNotice:
-    """Pieces that will come once the stages before them are done.
+    """Announces pieces that arrive once the stages before them are done.
 
     Attributes:
         request: The caller's id of the request.
         stage: The number of the stage in the request's route.
         service: The service.
-        pieces: How many pieces, or 0 where they will not come after all.
+        pieces: The number of pieces, or 0 to withdraw the announcement.
         urgency: The rank of the request.
-        gives_way: Whether it cannot be on time and gives way to all that can.
+        gives_way: Whether it can't be on time and its pieces are queued behind all that can.
     """
 
     request: str
--- a/packages/core/src/mountladder/forwarding/stageorder.py
+++ b/packages/core/src/mountladder/forwarding/stageorder.py
@@ -1,8 +1,8 @@
-# stageorder.py -- A stage that one instance leaves to another
+# stageorder.py -- Message that hands a stage over to another instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stage that one instance leaves to another."""
+"""Message that hands a stage over to another instance."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StageOrder:
-    """A stage that one instance leaves to the one where the service's pieces meet.
+    """Hands a stage over to the coordinator of its service.
 
     Attributes:
-        number: Its number, by which the outcome is matched.
-        job: The pieces; their times are relative to the moment of sending.
-        lent: Whether another data centre's place sends it, so that it stays where it comes.
+        number: The sender's number of the stage, which its outcome or withdrawal repeats.
+        job: The pieces; their times are relative to the time of sending.
+        lent: Whether the coordinator of another data centre sent it; it must not be lent again.
     """
 
     number: int
--- a/packages/core/src/mountladder/forwarding/stageoutcome.py
+++ b/packages/core/src/mountladder/forwarding/stageoutcome.py
@@ -1,8 +1,8 @@
-# stageoutcome.py -- What became of a stage of a request
+# stageoutcome.py -- Message with the results of a stage that was handed over
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What became of a stage of a request."""
+"""Message with the results of a stage that was handed over."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StageOutcome:
-    """What became of a stage of a request.
+    """Returns the results of a stage to the instance that handed it over.
 
     Attributes:
-        number: The number of the order, given by the instance that sent it.
+        number: The number of the stage's order, assigned by the instance that sent it.
         results: The results of its pieces, in their order.
-        backlog: How long pieces of the service wait now.
+        backlog: The current backlog of the service.
     """
 
     number: int
--- a/packages/core/src/mountladder/forwarding/stagerelease.py
+++ b/packages/core/src/mountladder/forwarding/stagerelease.py
@@ -1,8 +1,8 @@
-# stagerelease.py -- Results of a stage that are no longer needed
+# stagerelease.py -- Message that releases results of a stage
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Results of a stage that are no longer needed."""
+"""Message that releases results of a stage."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StageRelease:
-    """Results of a stage that are no longer needed.
+    """Releases results of a stage that are no longer needed.
 
     Attributes:
         service: The service that made them.
-        handles: Where they lie.
+        handles: The handles of the results.
     """
 
     service: str
--- a/packages/core/src/mountladder/forwarding/stageservers.py
+++ b/packages/core/src/mountladder/forwarding/stageservers.py
@@ -1,8 +1,8 @@
-# stageservers.py -- The servers of a stage service and the calls to them
+# stageservers.py -- State of the servers of a stage service and of the calls to them
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The servers of a stage service and the calls to them."""
+"""State of the servers of a stage service and of the calls to them."""
 
 from __future__ import annotations
 
@@ -17,22 +17,29 @@
 from mountladder.routing.serverstate import ServerState
 from mountladder.serverlimits.serverlimits import ServerLimits
 
-# A server this much slower than usual is left alone while another is soon free.
+# A server slower than usual by more than this factor is skipped if busy servers would be sooner.
 MUCH_SLOWER = 1.8
-# A server whose call is overdue has lost its answer, is slow, or is gone. Meanwhile it is sent one
-# more call, with this fraction of the pieces, which tells.
+# An overdue call means a lost answer, a slow server or a dead one. To find out which, the server is
+# probed with one more call of the maximum number of pieces divided by this.
 PROBE_PART = 4
 
 
 class StageServers:
-    """The servers of a stage service, and the calls that one instance has running there.
+    """The servers of a stage service, and the calls that this instance runs there.
 
     Args:
         service: The name of the service.
-        division: Which servers pieces that meet here are made at.
-        router: What is known of each server.
-        cold: Limits what servers get that have just started.
-        named_limits: Keeps to what servers say that they take.
+        division: Selects the servers that pieces coordinated here are sent to.
+        router: Holds the state of each server.
+        cold: Limits the pieces sent to servers that have just started.
+        named_limits: Enforces the rate limits that servers announce.
+
+    Attributes:
+        calls: The running calls, by the server's name.
+        paused: Until when a server is sent no calls, by its name.
+        overdue: Those of the running calls that are overdue, by the server's name.
+        answered_at: When a server last answered a call, by its name.
+        limited_call_at: When the last call to a rate-limited server was sent.
     """
 
     def __init__(
@@ -55,11 +62,11 @@
         self.limited_call_at = float("-inf")
 
     def begin(self, state: ServerState, call: StageCallState) -> None:
-        """Record that a call is sent."""
+        """Record that a call was sent."""
         self.cold.sent(state.server, call.pieces)
         if self.named_limits.limited((state.server,)):
             self.limited_call_at = call.started
-        # A call is one request, however many pieces it holds.
+        # Rate limits count a call as one request, whatever its number of pieces.
         self.named_limits.sent(state.server, self.service)
         self.calls.setdefault(state.server.name, []).append(call)
         state.begin(call.started)
@@ -73,7 +80,7 @@
         state.end(now)
 
     def mark_overdue(self, state: ServerState, call: StageCallState) -> None:
-        """Record that a call takes so long that its answer may be lost."""
+        """Record that a call is overdue, so that its answer may be lost."""
         self.overdue.setdefault(state.server.name, []).append(call)
 
     def answered(self, state: ServerState, now: float) -> None:
@@ -81,7 +88,7 @@
         self.answered_at[state.server.name] = now
 
     def has_answered_since(self, state: ServerState, call: StageCallState) -> bool:
-        """Tell whether a server has answered another call since one was sent."""
+        """Return whether a server has answered another call since this one was sent."""
         return self.answered_at.get(state.server.name, float("-inf")) > call.started
 
     def doubtful(self, state: ServerState) -> list[StageCallState]:
@@ -90,42 +97,42 @@
         return [call for call in overdue if not self.has_answered_since(state, call)]
 
     def most_pieces(self, state: ServerState, limits: BatchLimits) -> int:
-        """Return how many pieces a server is sent at most; few while cold, or maybe not working."""
+        """Return the maximum pieces in a call, fewer for cold servers and those being probed."""
         most = max(1, limits.pieces // PROBE_PART) if self.doubtful(state) else limits.pieces
         return min(most, self.cold.allowance(state.server, self.service))
 
     def spared_addresses(self) -> frozenset[str]:
-        """Return the addresses of the servers that limit what they take, or want rest."""
+        """Return the addresses of the servers that limit their rate or asked for back-off."""
         servers = self.division.directory.available(self.service)
         limited = self.named_limits.limited(servers)
         spared = [one for one in servers if one.name in limited] if limited else []
         return frozenset(one.address for one in (*spared, *self.router.resting(servers)))
 
     def rest_ms(self) -> float:
-        """Return for how much longer all servers want no calls from here, or 0."""
+        """Return the remaining back-off of all servers in milliseconds, 0 if one has none."""
         return self.router.rest_ms(self.division.servers(self.service))
 
     def take_request(self, state: ServerState) -> bool:
-        """Take one of the requests that a server can be sent now; tell whether there was one."""
+        """Use up one request of a server's rate limit; return False if none is available now."""
         if self.named_limits.wait_ms(state.server, self.service) > 0:
             return False
         self.named_limits.sent(state.server, self.service)
         return True
 
     def pause(self, state: ServerState, until: float) -> None:
-        """Send a server nothing up to a time."""
+        """Send a server no calls until a time."""
         self.paused[state.server.name] = until
 
     def usable(self, now: float) -> list[ServerState]:
-        """Return the servers that may be sent a call now, or once they are free."""
+        """Return the servers that may be sent calls, busy ones included."""
         states = (self.router.state(one) for one in self.division.servers(self.service))
         return [one for one in states if one.usable(now)]
 
     def free(self, limits: BatchLimits, now: float) -> list[ServerState]:
-        """Return the servers that can take a call at once, the fastest first.
+        """Return the servers that can take a call now, the fastest first.
 
-        Those that limit what they take come behind the others, so that their calls hold what is
-        left then, and cold ones last.
+        Rate-limited servers come behind the others and so get the remaining pieces; cold ones come
+        last.
         """
         usable = self.usable(now)
         free = [one for one in usable if self.is_free(one, limits, now)]
@@ -141,22 +148,22 @@
         )
 
     def left(self, state: ServerState, now: float) -> float:
-        """Return how long the calls at a server are expected to take yet."""
+        """Return the expected time until a server's calls complete, in milliseconds."""
         return max((call.left(now) for call in self.calls.get(state.server.name, ())), default=0.0)
 
     def waits_for_more(
         self, usable: Sequence[ServerState], pieces: int, limits: BatchLimits, now: float
     ) -> bool:
-        """Tell whether a call waits for more pieces, where all servers limit what they take.
+        """Return whether a call should wait for more pieces because all servers limit their rate.
 
-        Calls are as far apart as the servers together take them: so no more of them are made, and
-        each holds what has come since the last one. While most servers have a turn left, as after a
-        calm time, none waits.
+        Calls are spaced evenly at the servers' total rate, so that each holds the pieces that have
+        arrived since the last one. There is no wait while more than half of the servers accept a
+        request at once, as after a time of low load.
 
         Args:
             usable: The servers that may be sent calls.
-            pieces: How many pieces the call would hold now.
-            limits: What a server takes at once.
+            pieces: The number of pieces that the call would hold now.
+            limits: The batch limits of a server.
             now: The clock's time.
         """
         if pieces >= limits.pieces or not self.named_limits.limited(one.server for one in usable):
@@ -168,7 +175,7 @@
         return now - self.limited_call_at < MS_PER_SECOND / per_s
 
     def pieces_per_ms(self, state: ServerState, limits: BatchLimits, now: float) -> float:
-        """Return how many pieces a server makes in full calls, in a millisecond."""
+        """Return a server's throughput with full calls, in pieces per millisecond."""
         per_ms = 1.0 / (limits.expected_ms(limits.pieces) * state.slowness_at(now))
         named = self.named_limits.per_s(state.server, self.service) / MS_PER_SECOND
         return limits.pieces * min(per_ms, named)
@@ -181,7 +188,7 @@
         limits: BatchLimits,
         now: float,
     ) -> bool:
-        """Tell whether servers that are busy would have done the waiting pieces sooner."""
+        """Return whether busy servers would complete the waiting pieces sooner than a slow one."""
         if slow.slowness_at(now) <= MUCH_SLOWER:
             return False
         pieces = min(waiting, limits.pieces)
@@ -196,13 +203,13 @@
         return waiting <= room
 
     def is_free(self, state: ServerState, limits: BatchLimits, now: float) -> bool:
-        """Tell whether a server may be sent a call now."""
+        """Return whether a server may be sent a call now."""
         paused = self.paused.get(state.server.name, 0.0) > now
         if self.named_limits.wait_ms(state.server, self.service) > 0:
             return False
         return not paused and self.running(state) + len(self.doubtful(state)) // 2 < limits.calls
 
     def running(self, state: ServerState) -> int:
-        """Return how many calls a server is taken to be working on; not the overdue ones."""
+        """Return the number of calls running at a server, without the overdue ones."""
         name = state.server.name
         return len(self.calls.get(name, ())) - len(self.overdue.get(name, ()))
--- a/packages/core/src/mountladder/forwarding/stagetimes.py
+++ b/packages/core/src/mountladder/forwarding/stagetimes.py
@@ -1,8 +1,8 @@
-# stagetimes.py -- How long the stages of a request are expected to take
+# stagetimes.py -- Estimates how long the stages of a request take
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How long the stages of a request are expected to take."""
+"""Estimates how long the stages of a request take."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from mountladder.forwarding.route import Route
 from mountladder.forwarding.stagedispatch import StageDispatch
 
-# What a stage waits for a server, in parts of what a call takes before its first piece: calls end
-# at any time, so that the next server is free after about half of one.
+# Expected wait of a stage for a free server, as a fraction of a call's fixed time: calls end at
+# random times, so that a server is free after about half of one.
 WAIT_CALLS = 0.5
-# What a stage is taken to need whose service the catalogue does not have.
+# Expected time of a stage whose service the catalogue lacks.
 UNKNOWN_STAGE_MS = 300.0
 
 
 class StageTimes:
-    """How long the stages of one request take, by the figures of their services.
+    """Estimates the times of one request's stages from the batch limits of their services.
 
     Args:
         request: The request.
         route: Its route.
-        dispatch: Knows what a server of each service takes at once.
+        dispatch: Returns the batch limits of each service.
     """
 
     def __init__(self, request: ForwardRequest, route: Route, dispatch: StageDispatch) -> None:
@@ -32,16 +32,16 @@
         self.dispatch = dispatch
 
     def has(self, number: int) -> bool:
-        """Tell whether the request has pieces of a stage."""
+        """Return whether the request has pieces in a stage."""
         return number < len(self.request.pieces) and self.request.pieces[number] > 0
 
     def ms_after(self, number: int) -> float:
-        """Return about how long the stages take that follow one another behind a stage."""
+        """Return the approximate time of the longest chain of stages after one, in milliseconds."""
         following = [n for n, stage in enumerate(self.route.stages) if number in stage.after]
         return max((self.stage_ms(n) + self.ms_after(n) for n in following), default=0.0)
 
     def stage_ms(self, number: int) -> float:
-        """Return about how long a stage takes, its wait for a server included."""
+        """Return the approximate time of a stage and its wait for a server, in milliseconds."""
         if not self.has(number):
             return 0.0
         limits = self.dispatch.limits(self.route.stages[number].service)
--- a/packages/core/src/mountladder/forwarding/stagewithdrawal.py
+++ b/packages/core/src/mountladder/forwarding/stagewithdrawal.py
@@ -1,8 +1,8 @@
-# stagewithdrawal.py -- A stage that is not wanted any more
+# stagewithdrawal.py -- Message that withdraws a stage that was handed over
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stage that is not wanted any more."""
+"""Message that withdraws a stage that was handed over."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StageWithdrawal:
-    """A stage that is not wanted any more.
+    """Withdraws a stage whose results are no longer needed.
 
     Attributes:
-        number: The number of its order.
+        number: The number of the stage's order.
     """
 
     number: int
--- a/packages/core/src/mountladder/forwarding/submission.py
+++ b/packages/core/src/mountladder/forwarding/submission.py
@@ -1,8 +1,8 @@
-# submission.py -- A stage that was handed to an instance
+# submission.py -- A stage that was handed to a batcher, here or on another instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stage that was handed to an instance."""
+"""A stage that was handed to a batcher, here or on another instance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Submission:
-    """A stage that was handed to the batcher of this instance or of another.
+    """A stage that was handed to the batcher of this instance or of another one.
 
     Args:
         number: Its number on this instance.
@@ -19,10 +19,10 @@
         done: Called with their results.
 
     Attributes:
-        home: The address of the instance it was left to, or an empty string for this one.
-        lent: Whether that one is the place of another data centre.
-        moved: Whether another instance had it before, which may have begun it.
-        progress: Its progress where it is worked on here.
+        home: The address of the instance that runs it, or an empty string for this one.
+        lent: Whether that instance is the coordinator of another data centre.
+        moved: Whether it was reassigned from another instance, which may have begun it.
+        progress: Its progress if it runs here, or None.
     """
 
     def __init__(self, number: int, job: StageJob, done: Done) -> None:
