--- a/features/steps/division_steps.py
+++ b/features/steps/division_steps.py
@@ -9,7 +9,7 @@
 from forwardbasics import BATCH, PATHS, meeting, request, serve
 
 from mountladder.clocks.virtualclock import VirtualClock
-from mountladder.forwarding.backlog import PLACES, Backlog
+from mountladder.forwarding.backlog import PRIORITY_CLASSES, Backlog
 from mountladder.forwarding.lending import Lending
 from mountladder.forwarding.ranking import prompts_topic
 from mountladder.forwarding.reach import Reach
@@ -245,8 +245,8 @@
     context.lending_clock = VirtualClock()
     context.lending = Lending(context.lending_clock, "a")
     for name, wait_ms in (("b", b), ("c", c)):
-        waits = (float(wait_ms),) * len(PLACES)
-        context.lending.hear(Backlog("enc", waits, waits), name)
+        waits = (float(wait_ms),) * len(PRIORITY_CLASSES)
+        context.lending.record_backlog(Backlog("enc", waits, waits), name)
 
 
 @given("that was told {ms:d} ms ago")
@@ -278,19 +278,19 @@
 def lent_to(context):
     def play():
         place = context.place
-        none = (0.0,) * len(PLACES)
+        none = (0.0,) * len(PRIORITY_CLASSES)
         for name in ("a", "c"):
-            place.dispatch.lending.hear(Backlog("enc", none, none), name)
+            place.dispatch.lending.record_backlog(Backlog("enc", none, none), name)
         link = next(iter(place.fleet.links.values()))
-        place.dispatch.take_order(StageOrder(7, stage(), lent=True), link)
+        place.dispatch.handle_order(StageOrder(7, stage(), lent=True), link)
 
     context.run(play)
 
 
 @then("it waits there")
 def waits_there(context):
-    (submission,) = context.place.dispatch.foreign.values()
-    assert submission.home == "" and submission.progress is not None
+    (submission,) = context.place.dispatch.peer_submissions.values()
+    assert submission.assignee == "" and submission.progress is not None
 
 
 @when("a-2 is told that data centre {name} is cut off")
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -31,7 +31,7 @@
 from mountladder.forwarding.promptpart import PromptPart
 from mountladder.forwarding.prompttransfer import PromptTransfer
 from mountladder.forwarding.ranking import Ranking
-from mountladder.forwarding.resultroom import ResultRoom
+from mountladder.forwarding.resultmemory import ResultMemory
 from mountladder.forwarding.routestage import RouteStage
 from mountladder.forwarding.serverrecord import listed_server
 from mountladder.forwarding.service import Service
@@ -76,11 +76,11 @@
 def room(context, use, new, old):
     context.clock = VirtualClock()
     state = router(context.clock).state(server("enc-1", "a"))
-    context.room = ResultRoom()
+    context.room = ResultMemory()
     for _ in range(old):
         context.room.reserve("enc-1", RESULT_BYTES)
-    home = SimpleNamespace(room=context.room, queue=PieceQueue(), clock=context.clock)
-    home.twice = set()
+    home = SimpleNamespace(result_memory=context.room, queue=PieceQueue(), clock=context.clock)
+    home.hedged = set()
     context.progress = JobProgress(job(new), lambda results: None, 0.0)
     batch = [(context.progress, number) for number in range(new)]
     context.batch = BatchRun(home, state, batch, LIMITS, 0.0)
@@ -90,19 +90,19 @@
 
 @when("it has no room for the last one")
 def no_room(context):
-    context.lying = context.room.taken("enc-1", 0.0) - RESULT_BYTES
+    context.lying = context.room.used_bytes("enc-1", 0.0) - RESULT_BYTES
     result = PieceResult("", PieceFailure.NO_ROOM)
-    context.batch.take_result((context.progress, context.progress.job.pieces - 1), result, 0.0)
+    context.batch.handle_result((context.progress, context.progress.job.pieces - 1), result, 0.0)
 
 
 @then("it is not taken to be full of results of others")
 def not_full(context):
-    assert context.room.taken("enc-1", 0.0) == context.lying
+    assert context.room.used_bytes("enc-1", 0.0) == context.lying
 
 
 @then("it is taken to be full of results of others")
 def full(context):
-    assert context.room.taken("enc-1", 0.0) >= LIMITS.room_bytes - RESULT_BYTES
+    assert context.room.used_bytes("enc-1", 0.0) >= LIMITS.result_memory_bytes - RESULT_BYTES
 
 
 @given("a stage of {pieces:d} pieces that nothing is begun of, to be given up after {ms:d} ms")
@@ -123,7 +123,7 @@
 @when("{ms:d} ms go by at the queue")
 def go_by(context, ms):
     context.now += ms
-    context.queue.drop_late(context.now)
+    context.queue.drop_expired(context.now)
 
 
 @then("the stage waits on")
@@ -214,9 +214,9 @@
     context.dispatch = StageDispatch(fleet, lambda service: batcher, clock)
     context.settled = []
     submission = context.dispatch.submit(job(), context.settled.append)
-    submission.home = "10.0.0.1:7000"
+    submission.assignee = "10.0.0.1:7000"
     context.number = submission.number
-    context.dispatch.move_from("10.0.0.1:7000")
+    context.dispatch.reassign_from("10.0.0.1:7000")
 
 
 @when("the next one gives it up as not begun")
@@ -462,13 +462,13 @@
 
 @when("a server found them gone")
 def found_gone(context):
-    context.fetch.too_early()
+    context.fetch.record_early_release()
 
 
 @when("{number:d} servers had what they needed")
 def had_all(context, number):
     for _ in range(number):
-        context.fetch.fetched()
+        context.fetch.record_fetched()
 
 
 @given('server {name} has fault "unreachable", which shows after {ms:d} ms')
@@ -524,7 +524,7 @@
     context.rate = rate
     context.demand = StageDemand(clock)
     for _ in range(60):
-        context.demand.came(job(1))
+        context.demand.record_arrival(job(1))
 
 
 @when("{number:d} pieces of rank 2 wait")
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -15,7 +15,7 @@
 
 from mountladder.clocks.virtualclock import VirtualClock
 from mountladder.errors import RefusalError
-from mountladder.forwarding.backlog import GIVES_WAY
+from mountladder.forwarding.backlog import FIRST_CLASS_GIVING_WAY
 from mountladder.forwarding.batchlimits import BatchLimits
 from mountladder.forwarding.catalogue import Catalogue
 from mountladder.forwarding.jobprogress import JobProgress
@@ -199,12 +199,12 @@
 @when("one of {tokens:d} tokens that {standing} is sent to an instance")
 def standing_sent(context, tokens, standing):
     forecast = context.fleet.instances["a-1"].forwarder.context.forecast
-    plain = forecast.foresee
+    plain = forecast.predict
 
-    def foresee(*args):
+    def predict(*args):
         return replace(plain(*args), gives_way=standing == "gives way")
 
-    forecast.foresee = foresee
+    forecast.predict = predict
     send_one(context, tokens)
     context.factors = forecast.factors
 
@@ -252,7 +252,7 @@
 @when("{pieces:d} pieces of rank 0 that give way have come in within 1500 ms")
 def came_late(context, pieces):
     for _ in range(pieces):
-        context.demand.came(stage(context, 0, 1, -1.0))
+        context.demand.record_arrival(stage(context, 0, 1, -1.0))
 
 
 @when("{pieces:d} pieces of rank 1 wait")
@@ -263,13 +263,13 @@
 
 
 def expected(context):
-    waiting = context.queue.by_place(context.clock.now())
+    waiting = context.queue.count_by_priority(context.clock.now())
     return context.demand.waits_ms(waiting, context.rate, 0.0)
 
 
 @then("those that give way are expected to wait {ms:d} ms")
 def behind_waits(context, ms):
-    assert round(context.waits[GIVES_WAY]) == ms, context.waits
+    assert round(context.waits[FIRST_CLASS_GIVING_WAY]) == ms, context.waits
 
 
 class WaitingDispatch(QuietDispatch):
@@ -291,14 +291,14 @@
     rng = random.Random(1)
     for number in range(40):
         sent = deck(context, f"before {number}", drawn(rng, context.mean), 0.0, 10_000.0)
-        context.forecast.foresee(sent, context.route, 0, 0.0)
+        context.forecast.predict(sent, context.route, 0, 0.0)
 
 
 @when("one of {tokens:d} tokens comes while its stages wait {wait:d} ms")
 def one_comes(context, tokens, wait):
     context.dispatch.ms = float(wait)
     sent = deck(context, "r", tokens, 0.0, context.deadline_ms)
-    context.expectation = context.forecast.foresee(sent, context.route, 0, 0.0)
+    context.expectation = context.forecast.predict(sent, context.route, 0, 0.0)
     context.refusal = None
     try:
         context.forecast.check(context.expectation, sent, context.route)
--- a/features/steps/leavingserver_steps.py
+++ b/features/steps/leavingserver_steps.py
@@ -233,7 +233,9 @@
 
     def release():
         for server, handle in ((first, f"{first}/1"), (second, f"{second}/2")):
-            batcher.room.keep(handle, server, 1.0, context.clock.now() + 4 * SECOND_MS)
+            batcher.result_memory.record_result(
+                handle, server, 1.0, context.clock.now() + 4 * SECOND_MS
+            )
         batcher.release([f"{first}/1", f"{second}/2"])
         context.clock.sleep(SECOND_MS)
 
--- a/features/steps/piece_steps.py
+++ b/features/steps/piece_steps.py
@@ -147,8 +147,8 @@
 def forgotten(context):
     for instance in context.fleet.instances.values():
         for batcher in instance.dispatch.batchers.values():
-            assert not batcher.queue and not batcher.twice and not batcher.room.results
-            assert sum(batcher.room.used.values()) == 0
+            assert not batcher.queue and not batcher.hedged and not batcher.result_memory.results
+            assert sum(batcher.result_memory.used.values()) == 0
 
 
 class RecordingDispatch(QuietDispatch):
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -354,7 +354,7 @@
     assert [(one.after, one.result_bytes) for one in stream.stages] == [((), 5.0), ((0,), 6.0)]
     assert stream.repeatable and stream.public and stream.last_stages() == (1,)
     assert (safe.aim_ms, safe.most_attempts, safe.priority) == (200.0, 2, 2)
-    assert found.services["t"].batch.kept_ms == 4_000.0
+    assert found.services["t"].batch.result_ttl_ms == 4_000.0
     assert found.services["s"].slots == 64
     assert found.keys["k2"].team == "team" and found.keys["k2"].priority == 1
     limits = found.limits
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -90,7 +90,7 @@
         server = named(instance, id_)
         placement(instance).began(server.name, SHARED, 0)
         state(instance, id_).timed(4.0, context.clock.now())
-        instance.dispatch.batcher("enc").room.reserve(server.name, RESULT_BYTES)
+        instance.dispatch.batcher("enc").result_memory.reserve(server.name, RESULT_BYTES)
 
 
 def placement(instance):
@@ -103,7 +103,7 @@
     found = []
     for instance in context.fleet.instances.values():
         one = state(instance, id_)
-        room = instance.dispatch.batcher("enc").room.taken(one.server.name, now)
+        room = instance.dispatch.batcher("enc").result_memory.used_bytes(one.server.name, now)
         found.append((placement(instance).kept(one, SHARED), one.slowness, room))
     return found
 
--- a/features/steps/restingserver_steps.py
+++ b/features/steps/restingserver_steps.py
@@ -172,7 +172,7 @@
 @then("where its pieces meet new ones are expected to wait {least:d} to {most:d} ms")
 def expected_wait(context, least, most):
     batcher = meeting(context, "enc").dispatch.batcher("enc")
-    waits_ms = batcher.newest_backlog(context.clock.now()).waits_ms
+    waits_ms = batcher.compute_backlog(context.clock.now()).waits_ms
     assert least <= min(waits_ms) and max(waits_ms) <= most, waits_ms
 
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -17,7 +17,7 @@
 from mountladder.forwarding.jobprogress import JobProgress
 from mountladder.forwarding.piecequeue import PieceQueue
 from mountladder.forwarding.piecerate import PieceRate
-from mountladder.forwarding.resultroom import ResultRoom
+from mountladder.forwarding.resultmemory import ResultMemory
 from mountladder.forwarding.serverrecord import listed_server
 from mountladder.forwarding.stagecallstate import StageCallState
 from mountladder.forwarding.stagejob import StageJob
@@ -84,12 +84,12 @@
 def far_goes(context, ms):
     context.run(context.clock.sleep, float(ms))
     now = context.clock.now()
-    return PieceQueue().may_go(context.progress, context.state, {"a", "b"}, BATCH, now)
+    return PieceQueue().may_run_at(context.progress, context.state, {"a", "b"}, BATCH, now)
 
 
 @given("a server with room for {room:d} bytes where {used:d} bytes are known to be in use")
 def room_for(context, room, used):
-    context.room = ResultRoom()
+    context.room = ResultMemory()
     context.room.reserve(SERVER, used)
     context.bytes = room
 
@@ -97,13 +97,13 @@
 @when("it is found full, with results kept for {ms:d} ms")
 def found_full(context, ms):
     now = context.clock.now()
-    unknown = context.bytes - context.room.taken(SERVER, now)
-    context.room.found_full(SERVER, unknown, now, ms)
+    unknown = context.bytes - context.room.used_bytes(SERVER, now)
+    context.room.record_full(SERVER, unknown, now, ms)
 
 
 @then("{number:g} bytes are taken to be in use there")
 def in_use(context, number):
-    assert context.room.taken(SERVER, context.clock.now()) == number
+    assert context.room.used_bytes(SERVER, context.clock.now()) == number
 
 
 @given("{pieces:d} pieces are made every {ms:d} ms")
@@ -125,7 +125,7 @@
 
 @when("pieces begin to wait and {ms:d} ms go by")
 def begin_to_wait(context, ms):
-    context.rate.watch(True)
+    context.rate.set_congested(True)
     context.run(context.clock.sleep, ms)
 
 
@@ -136,7 +136,7 @@
 
 @when("no pieces wait any more")
 def none_waits(context):
-    context.rate.watch(False)
+    context.rate.set_congested(False)
 
 
 @given("{pieces:d} pieces wait for service enc on the instance where they meet")
@@ -148,7 +148,7 @@
 
 @given("its servers have made {pieces:d} pieces in each {ms:d} ms for {all_ms:d} ms")
 def have_made(context, pieces, ms, all_ms):
-    context.batcher.rate.watch(True)
+    context.batcher.rate.set_congested(True)
     for _ in range(all_ms // ms):
         context.run(context.clock.sleep, float(ms))
         context.batcher.rate.add(pieces)
@@ -204,7 +204,7 @@
     servers, now = context.batcher.servers, context.clock.now()
     if context.state not in servers.free(BATCH, now):
         return 0
-    return servers.most_pieces(context.state, BATCH)
+    return servers.max_pieces(context.state, BATCH)
 
 
 @then("{name} may be sent {pieces:d} pieces in one more call")
@@ -253,4 +253,4 @@
 
 @when("results of {size:d} bytes are lost there for {ms:d} ms")
 def lost(context, size, ms):
-    context.room.lose(SERVER, size, context.clock.now() + ms)
+    context.room.record_lost(SERVER, size, context.clock.now() + ms)
--- a/packages/core/src/mountladder/forwarding/backlog.py
+++ b/packages/core/src/mountladder/forwarding/backlog.py
@@ -10,29 +10,29 @@
 from dataclasses import dataclass
 
 # Higher ranks count as this one: three ranks of routes within each of two ranks of teams.
-LAST_RANK = 5
+MAX_RANK = 5
 # Priority classes of queued pieces: first those that can be on time, by rank; behind all of them
 # those that give way because they can't, by rank up to the last one of a single team's routes.
-GIVES_WAY = LAST_RANK + 1
-LAST_GIVING_WAY = 2
-PLACES = range(GIVES_WAY + LAST_GIVING_WAY + 1)
+FIRST_CLASS_GIVING_WAY = MAX_RANK + 1
+LAST_RANK_GIVING_WAY = 2
+PRIORITY_CLASSES = range(FIRST_CLASS_GIVING_WAY + LAST_RANK_GIVING_WAY + 1)
 
 
 def rank(urgency: int) -> int:
-    """Return an urgency's rank, limited to 0 to LAST_RANK."""
-    return min(max(0, urgency), LAST_RANK)
+    """Return an urgency's rank, limited to 0 to MAX_RANK."""
+    return min(max(0, urgency), MAX_RANK)
 
 
-def place(urgency: int, gives_way: bool) -> int:
-    """Return the priority class of pieces in a queue, one of PLACES."""
+def priority_class(urgency: int, gives_way: bool) -> int:
+    """Return the priority class of pieces in a queue, one of PRIORITY_CLASSES."""
     if gives_way:
-        return GIVES_WAY + min(rank(urgency), LAST_GIVING_WAY)
+        return FIRST_CLASS_GIVING_WAY + min(rank(urgency), LAST_RANK_GIVING_WAY)
     return rank(urgency)
 
 
-def by_rank(figures: Sequence[float], urgency: int) -> float:
+def value_for_rank(values: Sequence[float], urgency: int) -> float:
     """Return the value for an urgency's rank; the last value holds for all ranks beyond it."""
-    return figures[min(rank(urgency), len(figures) - 1)]
+    return values[min(rank(urgency), len(values) - 1)]
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,11 +41,11 @@
 
     Attributes:
         service: The service.
-        waits_ms: The expected waits in milliseconds, one for each priority class of PLACES.
-        own_ms: For a divided service, the expected waits if no piece is sent to another data
-            centre; empty otherwise.
+        waits_ms: The expected waits in milliseconds, by priority class.
+        local_waits_ms: For a divided service, the expected waits if no piece is sent to another
+            data centre; empty otherwise.
     """
 
     service: str
     waits_ms: tuple[float, ...]
-    own_ms: tuple[float, ...] = ()
+    local_waits_ms: tuple[float, ...] = ()
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -11,7 +11,7 @@
 import gevent
 
 from mountladder.clocks.clock import Clock
-from mountladder.forwarding.backlog import PLACES, Backlog
+from mountladder.forwarding.backlog import PRIORITY_CLASSES, Backlog
 from mountladder.forwarding.batchlimits import BatchLimits
 from mountladder.forwarding.batchrun import BatchRun
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
@@ -19,10 +19,10 @@
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.division import Division
 from mountladder.forwarding.jobprogress import Done, JobProgress
-from mountladder.forwarding.piecequeue import PieceQueue, Waiting, apart
+from mountladder.forwarding.piecequeue import PieceQueue, QueuedPiece, isolate_suspects
 from mountladder.forwarding.piecerate import PieceRate
 from mountladder.forwarding.releaser import Releaser
-from mountladder.forwarding.resultroom import ResultRoom
+from mountladder.forwarding.resultmemory import ResultMemory
 from mountladder.forwarding.stagedemand import StageDemand
 from mountladder.forwarding.stagejob import StageJob
 from mountladder.forwarding.stageservers import StageServers
@@ -36,19 +36,19 @@
 from mountladder.serverlimits.serverlimits import ServerLimits
 
 # Interval between polls of a queue with waiting pieces, where no event triggers an earlier one.
-LOOK_AGAIN_MS = 40.0
+POLL_MS = 40.0
 # How long a computed backlog is reported before it is computed again: a tenth of a call.
-BACKLOG_MS = 20.0
+BACKLOG_CACHE_MS = 20.0
 # The expected wait while no server is usable.
-NO_SERVER_MS = 5_000.0
+NO_SERVER_WAIT_MS = 5_000.0
 # The service is congested once its oldest piece has waited longer than this many full calls; a
 # shorter wait is just for the next free server.
-CROWDED = 1.5
+CONGESTED_CALLS = 1.5
 # Results that are held back at a rate-limited server are released once this fraction of its result
 # memory is in use.
-SHORT_ROOM = 0.5
+LOW_MEMORY_FRACTION = 0.5
 # Lower bound of the measured throughput, as a fraction of the throughput with full calls.
-LEAST_RATE = 0.3
+MIN_RATE_FRACTION = 0.3
 
 
 class Batcher:
@@ -100,12 +100,12 @@
         self.queue = PieceQueue()
         self.demand = StageDemand(clock)
         self.servers = StageServers(service, division, router, cold, limits)
-        self.room = ResultRoom()
+        self.result_memory = ResultMemory()
         self.rate = PieceRate(clock)
-        self.twice: set[Waiting] = set()
-        self.told: tuple[float, Backlog] | None = None
+        self.hedged: set[QueuedPiece] = set()
+        self.cached_backlog: tuple[float, Backlog] | None = None
         self.releaser = self.make_releaser(division.directory)
-        self.cancel_look: Callable[[], None] | None = None
+        self.cancel_poll: Callable[[], None] | None = None
 
     def make_releaser(self, directory: Directory) -> Releaser:
         """Return the releaser of this batcher's results."""
@@ -113,10 +113,10 @@
             self.upstream,
             directory,
             self.clock,
-            self.freed,
+            self.on_released,
             self.notices.hear,
-            self.servers.spared_addresses,
-            lambda handle: handle in self.room.results,
+            self.servers.restricted_addresses,
+            lambda handle: handle in self.result_memory.results,
         )
 
     def submit(self, job: StageJob, done: Done) -> JobProgress:
@@ -124,7 +124,7 @@
         progress = JobProgress(job, done, self.clock.now())
         for _ in range(job.pieces):
             self.budget.earn()
-        self.demand.came(job)
+        self.demand.record_arrival(job)
         self.queue.add(progress)
         self.pump()
         return progress
@@ -144,64 +144,67 @@
         """Send batches while pieces wait and servers are free."""
         limits = self.limits()
         now = self.clock.now()
-        self.queue.drop_late(now)
-        self.queue.drop_barred(self.quarantine)
-        self.room.drop_old(now)
+        self.queue.drop_expired(now)
+        self.queue.drop_quarantined(self.quarantine)
+        self.result_memory.drop_expired(now)
         if self.releaser.held and limits is not None:
-            self.free_held(limits, now)
+            self.release_held(limits, now)
         if self.queue and limits is not None:
             self.queue.sort(now)
             for state in self.servers.free(limits, now):
                 self.offer(state, limits, now)
-        self.rate.watch(limits is not None and self.is_crowded(limits, now))
+        self.rate.set_congested(limits is not None and self.is_congested(limits, now))
         if self.queue:
-            self.look_again()
+            self.schedule_poll()
 
-    def is_crowded(self, limits: BatchLimits, now: float) -> bool:
+    def is_congested(self, limits: BatchLimits, now: float) -> bool:
         """Return whether pieces wait longer than until the next server is free."""
-        return now - self.queue.oldest(now) > CROWDED * limits.expected_ms(limits.pieces)
+        return now - self.queue.oldest(now) > CONGESTED_CALLS * limits.expected_ms(limits.pieces)
 
     def release(self, handles: Sequence[str]) -> None:
         """Release results that are no longer needed."""
         self.releaser.release(handles)
 
-    def freed(self, handles: Sequence[str]) -> None:
+    def on_released(self, handles: Sequence[str]) -> None:
         """Free the memory accounted for results that servers have dropped."""
         for handle in handles:
-            self.room.release(handle)
+            self.result_memory.release(handle)
         if self.queue:
             self.pump()
 
-    def free_held(self, limits: BatchLimits, now: float) -> None:
+    def release_held(self, limits: BatchLimits, now: float) -> None:
         """Release held-back results at servers whose result memory runs short."""
         for state in self.servers.usable(now):
             address, name = state.server.address, state.server.name
             held = self.releaser.held.get(address)
-            is_short = self.room.taken(name, now) >= SHORT_ROOM * limits.room_bytes
-            if held and is_short and self.servers.take_request(state):
-                self.releaser.free_held(address)
-
-    def look_again(self) -> None:
+            is_low = (
+                self.result_memory.used_bytes(name, now)
+                >= LOW_MEMORY_FRACTION * limits.result_memory_bytes
+            )
+            if held and is_low and self.servers.try_acquire(state):
+                self.releaser.release_held(address)
+
+    def schedule_poll(self) -> None:
         """Schedule a poll of the queue, unless one is scheduled already."""
-        if self.cancel_look is None:
-            self.cancel_look = self.clock.call_later(LOOK_AGAIN_MS, self.looked)
+        if self.cancel_poll is None:
+            self.cancel_poll = self.clock.call_later(POLL_MS, self.poll)
 
-    def looked(self) -> None:
+    def poll(self) -> None:
         """Poll the queue."""
-        self.cancel_look = None
+        self.cancel_poll = None
         self.pump()
 
     def offer(self, state: ServerState, limits: BatchLimits, now: float) -> None:
         """Send a batch to a free server, unless it is better that the pieces wait."""
         usable = self.servers.usable(now)
-        manned = {one.server.datacentre for one in usable}
-        used = self.room.taken(state.server.name, now)
-        most = self.servers.most_pieces(state, limits)
-        chosen = self.queue.choose(state, used, manned, limits, now)[:most]
-        batch = apart(chosen, self.quarantine)
+        served_datacentres = {one.server.datacentre for one in usable}
+        used_bytes = self.result_memory.used_bytes(state.server.name, now)
+        max_pieces = self.servers.max_pieces(state, limits)
+        chosen = self.queue.choose(state, used_bytes, served_datacentres, limits, now)[:max_pieces]
+        batch = isolate_suspects(chosen, self.quarantine)
         if not batch:
             return
-        if self.servers.waits_for_more(usable, len(batch), limits, now):
+        if self.servers.should_wait_for_more(usable, len(batch), limits, now):
             return
         if self.servers.is_better_to_wait(state, usable, len(self.queue), limits, now):
             return
@@ -209,32 +212,34 @@
         self.start(state, batch, limits, now)
 
     def backlog(self) -> Backlog:
-        """Return the expected waits of new pieces, up to BACKLOG_MS old.
+        """Return the expected waits of new pieces, up to BACKLOG_CACHE_MS old.
 
         It is read for each heartbeat of each instance that sends pieces here, hundreds of times a
         second in a large fleet, so it is cached.
         """
         now = self.clock.now()
-        if self.told is None or now - self.told[0] >= BACKLOG_MS:
-            self.told = (now, self.newest_backlog(now))
-        return self.told[1]
+        if self.cached_backlog is None or now - self.cached_backlog[0] >= BACKLOG_CACHE_MS:
+            self.cached_backlog = (now, self.compute_backlog(now))
+        return self.cached_backlog[1]
 
-    def newest_backlog(self, now: float) -> Backlog:
+    def compute_backlog(self, now: float) -> Backlog:
         """Compute the expected waits of new pieces from the queue and the demand."""
         limits = self.limits()
         usable = self.servers.usable(now)
         if limits is None or not usable:
-            wait_ms = self.servers.rest_ms() or NO_SERVER_MS
-            return Backlog(self.service, (wait_ms,) * len(PLACES))
+            wait_ms = self.servers.backoff_ms() or NO_SERVER_WAIT_MS
+            return Backlog(self.service, (wait_ms,) * len(PRIORITY_CLASSES))
         rate = sum(self.servers.pieces_per_ms(one, limits, now) for one in usable)
         measured = self.rate.measured()
         if measured is not None:
-            rate = max(LEAST_RATE * rate, min(rate, measured))
-        busy_ms = min(self.servers.left(one, now) for one in usable)
-        return Backlog(self.service, self.demand.waits_ms(self.queue.by_place(now), rate, busy_ms))
+            rate = max(MIN_RATE_FRACTION * rate, min(rate, measured))
+        busy_ms = min(self.servers.remaining_ms(one, now) for one in usable)
+        return Backlog(
+            self.service, self.demand.waits_ms(self.queue.count_by_priority(now), rate, busy_ms)
+        )
 
     def start(
-        self, state: ServerState, batch: list[Waiting], limits: BatchLimits, now: float
+        self, state: ServerState, batch: list[QueuedPiece], limits: BatchLimits, now: float
     ) -> None:
         """Send a batch to a server in a greenlet of its own."""
         run = BatchRun(self, state, batch, limits, now)
@@ -243,5 +248,5 @@
             progress.begun = True
             if self.quarantine.goes_alone(progress.job.fingerprint):
                 self.quarantine.sending(progress.job.fingerprint, progress.job.request)
-            self.room.reserve(state.server.name, progress.job.result_bytes)
+            self.result_memory.reserve(state.server.name, progress.job.result_bytes)
         gevent.spawn(run.run)
--- a/packages/core/src/mountladder/forwarding/batchlimits.py
+++ b/packages/core/src/mountladder/forwarding/batchlimits.py
@@ -21,8 +21,8 @@
         pieces: The maximum number of pieces in a call.
         call_ms: The fixed time of a call in milliseconds.
         piece_ms: The approximate time that each piece adds, in milliseconds; it differs by stage.
-        room_mb: The memory for results, in megabytes.
-        kept_ms: How long a result is kept, in milliseconds.
+        result_memory_mb: The memory for results, in megabytes.
+        result_ttl_ms: How long a result is kept, in milliseconds.
         link_mbps: The bandwidth of its link in Mbit/s, or 0 if unknown.
     """
 
@@ -31,14 +31,14 @@
     pieces: int
     call_ms: float
     piece_ms: float
-    room_mb: float
-    kept_ms: float
+    result_memory_mb: float
+    result_ttl_ms: float
     link_mbps: float = 0.0
 
     @property
-    def room_bytes(self) -> float:
+    def result_memory_bytes(self) -> float:
         """Return the memory for results in bytes."""
-        return self.room_mb * BYTES_PER_MB
+        return self.result_memory_mb * BYTES_PER_MB
 
     def expected_ms(self, pieces: int) -> float:
         """Return the approximate time of a call with a number of pieces, in milliseconds."""
--- a/packages/core/src/mountladder/forwarding/batchrun.py
+++ b/packages/core/src/mountladder/forwarding/batchrun.py
@@ -17,7 +17,7 @@
 from mountladder.forwarding.batchlimits import BatchLimits
 from mountladder.forwarding.jobprogress import JobProgress
 from mountladder.forwarding.piecefailure import PieceFailure
-from mountladder.forwarding.piecequeue import Waiting
+from mountladder.forwarding.piecequeue import QueuedPiece
 from mountladder.forwarding.pieceresult import PieceResult
 from mountladder.forwarding.stagecallstate import StageCallState
 from mountladder.metrics.metric import Metric
@@ -31,15 +31,15 @@
 # A call that takes longer than this multiple of its expected time plus a margin is hedged: its
 # pieces go to another server too, and the first result counts. A slow server is 4 to 5 times slower
 # and continues with a call that its caller has abandoned.
-SECOND_CALL = 1.6
-SECOND_CALL_MS = 100.0
+HEDGE_FACTOR = 1.6
+HEDGE_MARGIN_MS = 100.0
 # A call times out after this multiple of its expected time plus a margin; an unreachable or
 # hung server never answers.
-PATIENCE = 5.0
-PATIENCE_MS = 250.0
+TIMEOUT_FACTOR = 5.0
+TIMEOUT_MARGIN_MS = 250.0
 # Maximum number of times that a piece is sent; the retry budget of the service is usually spent
 # before.
-MOST_TRIES = 4
+MAX_ATTEMPTS = 4
 # Pause after a server refused a call because it is full: about a third of a call.
 FULL_PAUSE_MS = 60.0
 # Pause after a server had no memory left for results; releases free some within about this time.
@@ -50,7 +50,7 @@
     """Sends a batch of pieces to a server, and settles or requeues each of them.
 
     Args:
-        home: The batcher of the pieces.
+        batcher: The batcher of the pieces.
         state: The server.
         batch: The pieces.
         limits: The server's batch limits.
@@ -59,18 +59,22 @@
 
     def __init__(
         self,
-        home: Batcher,
+        batcher: Batcher,
         state: ServerState,
-        batch: list[Waiting],
+        batch: list[QueuedPiece],
         limits: BatchLimits,
         now: float,
     ) -> None:
-        self.home = home
+        self.batcher = batcher
         self.state = state
         self.batch = batch
         self.limits = limits
-        asked = sum(progress.job.result_bytes for progress, _ in batch)
-        self.spare = limits.room_bytes - home.room.taken(state.server.name, now) - asked
+        requested_bytes = sum(progress.job.result_bytes for progress, _ in batch)
+        self.free_bytes = (
+            limits.result_memory_bytes
+            - batcher.result_memory.used_bytes(state.server.name, now)
+            - requested_bytes
+        )
         expected_ms = limits.expected_ms(len(batch)) * state.slowness_at(now)
         self.call = StageCallState(now, expected_ms, len(batch))
 
@@ -78,13 +82,13 @@
         """Make the call, then settle or requeue its pieces."""
         pieces = [progress.job.piece(fragment) for progress, fragment in self.batch]
         for progress, fragment in self.batch:
-            progress.tries[fragment] += 1
-        patience_ms = PATIENCE * self.call.expected_ms + PATIENCE_MS
-        late_ms = SECOND_CALL * self.call.expected_ms + SECOND_CALL_MS
-        cancel = self.home.clock.call_later(late_ms, self.send_twice)
+            progress.attempts[fragment] += 1
+        timeout_ms = TIMEOUT_FACTOR * self.call.expected_ms + TIMEOUT_MARGIN_MS
+        hedge_after_ms = HEDGE_FACTOR * self.call.expected_ms + HEDGE_MARGIN_MS
+        cancel = self.batcher.clock.call_later(hedge_after_ms, self.hedge)
         try:
-            results = self.home.upstream.run_pieces(
-                self.state.server, pieces, patience_ms, self.home.notices.hear
+            results = self.batcher.upstream.run_pieces(
+                self.state.server, pieces, timeout_ms, self.batcher.notices.hear
             )
         except StageError as error:
             self.failed(error)
@@ -92,100 +96,110 @@
             self.succeeded(results)
         finally:
             cancel()
-            self.home.servers.end(self.state, self.call, self.home.clock.now())
-            self.home.pump()
+            self.batcher.servers.end(self.state, self.call, self.batcher.clock.now())
+            self.batcher.pump()
 
-    def send_twice(self) -> None:
+    def hedge(self) -> None:
         """Requeue the unsettled pieces of an overdue call, so that another server runs them too."""
-        now = self.home.clock.now()
+        now = self.batcher.clock.now()
         self.state.timed((now - self.call.started) / self.limits.expected_ms(len(self.batch)), now)
-        self.home.servers.mark_overdue(self.state, self.call)
-        again = [one for one in self.batch if not one[0].has(one[1]) and self.home.budget.spend()]
+        self.batcher.servers.mark_overdue(self.state, self.call)
+        requeued = [
+            one
+            for one in self.batch
+            if not one[0].is_settled(one[1]) and self.batcher.budget.spend()
+        ]
         log_message(
             "pieces-late",
-            service=self.home.service,
+            service=self.batcher.service,
             server=self.state.server.name,
             pieces=len(self.batch),
-            again=len(again),
+            requeued=len(requeued),
             elapsed_ms=round(now - self.call.started),
             expected_ms=round(self.call.expected_ms),
             requests=sorted({progress.job.request for progress, _ in self.batch}),
         )
-        for waiting in again:
-            self.home.twice.add(waiting)
-            self.home.queue.add_again(waiting)
-        self.home.pump()
+        for waiting in requeued:
+            self.batcher.hedged.add(waiting)
+            self.batcher.queue.requeue(waiting)
+        self.batcher.pump()
 
     def succeeded(self, results: Sequence[PieceResult]) -> None:
         """Handle the results of a call that was answered."""
-        now = self.home.clock.now()
+        now = self.batcher.clock.now()
         elapsed_ms = now - self.call.started
         self.state.breaker.succeed()
-        self.home.servers.answered(self.state, now)
+        self.batcher.servers.answered(self.state, now)
         self.state.timed(elapsed_ms / self.limits.expected_ms(len(self.batch)), now)
-        self.home.rate.add(len(self.batch))
-        self.home.metrics.count(Metric.STAGE_CALLS)
-        self.home.metrics.count(Metric.STAGE_PIECES, number=len(self.batch))
-        self.home.metrics.timing(Metric.STAGE_CALL_MS, elapsed_ms)
+        self.batcher.rate.add(len(self.batch))
+        self.batcher.metrics.count(Metric.STAGE_CALLS)
+        self.batcher.metrics.count(Metric.STAGE_PIECES, number=len(self.batch))
+        self.batcher.metrics.timing(Metric.STAGE_CALL_MS, elapsed_ms)
         failed = [one.failure.value for one in results if one.failure is not None]
         log_message(
             "pieces-made",
-            service=self.home.service,
+            service=self.batcher.service,
             server=self.state.server.name,
             pieces=len(self.batch),
-            waiting=len(self.home.queue),
+            waiting=len(self.batcher.queue),
             elapsed_ms=round(elapsed_ms),
             slowness=round(self.state.slowness, 2),
-            result_bytes_used=round(self.home.room.taken(self.state.server.name, now)),
+            result_bytes_used=round(
+                self.batcher.result_memory.used_bytes(self.state.server.name, now)
+            ),
             failed=failed,
             requests=sorted({progress.job.request for progress, _ in self.batch}),
         )
         if PieceFailure.NO_ROOM.value in failed:
-            self.home.servers.pause(self.state, now + NO_ROOM_PAUSE_MS)
+            self.batcher.servers.pause(self.state, now + NO_ROOM_PAUSE_MS)
         for waiting, result in zip(self.batch, results, strict=True):
-            self.take_result(waiting, result, now)
+            self.handle_result(waiting, result, now)
 
-    def take_result(self, waiting: Waiting, result: PieceResult, now: float) -> None:
+    def handle_result(self, waiting: QueuedPiece, result: PieceResult, now: float) -> None:
         """Settle or requeue a piece by its result."""
         progress, fragment = waiting
         if result.failure is None:
-            self.home.twice.discard(waiting)
+            self.batcher.hedged.discard(waiting)
         size, server = progress.job.result_bytes, self.state.server.name
         if result.failure is not None:
-            self.home.room.give_back(server, size)
+            self.batcher.result_memory.unreserve(server, size)
         else:
-            self.home.room.keep(result.handle, server, size, now + self.limits.kept_ms)
+            self.batcher.result_memory.record_result(
+                result.handle, server, size, now + self.limits.result_ttl_ms
+            )
         if result.failure is PieceFailure.NO_ROOM:
             # The server did not run the piece, so this counts as no retry. Result sizes are
             # approximate: a call that was to fill the memory may exceed it by about one result.
-            if self.spare > size:
-                self.home.room.found_full(server, self.spare, now, self.limits.kept_ms)
-            self.home.queue.add_again(waiting)
+            if self.free_bytes > size:
+                self.batcher.result_memory.record_full(
+                    server, self.free_bytes, now, self.limits.result_ttl_ms
+                )
+            self.batcher.queue.requeue(waiting)
         elif result.failure is PieceFailure.FAILED:
             self.repeat(progress, fragment, result)
-        elif progress.has(fragment):
-            self.home.release([result.handle])
+        elif progress.is_settled(fragment):
+            self.batcher.release([result.handle])
         else:
             progress.settle(fragment, replace(result, datacentre=self.state.server.datacentre))
-            self.home.quarantine.answer(progress.job.fingerprint)
+            self.batcher.quarantine.answer(progress.job.fingerprint)
 
     def failed(self, error: StageError) -> None:
         """Handle a call without an answer: update the server's state and requeue the pieces."""
-        now = self.home.clock.now()
+        now = self.batcher.clock.now()
         if error.code in {Code.SERVER_FULL, Code.SERVER_REFUSED}:
-            self.home.servers.pause(self.state, now + FULL_PAUSE_MS)
+            self.batcher.servers.pause(self.state, now + FULL_PAUSE_MS)
             self.state.breaker.abandon()
         elif error.code is Code.SERVER_REPLACED:
             self.state.leave(now)
             self.state.breaker.abandon()
-        elif self.home.servers.has_answered_since(self.state, self.call):
+        elif self.batcher.servers.has_answered_since(self.state, self.call):
             # The server has answered another call since, so only this answer was lost.
             self.state.breaker.abandon()
         else:
             self.state.breaker.trip(now)
         log_message(
             "pieces-failed",
-            service=self.home.service,
+            service=self.batcher.service,
             server=self.state.server.name,
             pieces=len(self.batch),
             code=error.code.number,
@@ -193,42 +207,44 @@
             elapsed_ms=round(now - self.call.started),
             requests=sorted({progress.job.request for progress, _ in self.batch}),
         )
-        self.home.metrics.count(Metric.RETRIED, error.code.name.lower())
-        self.look_into(error)
+        self.batcher.metrics.count(Metric.RETRIED, error.code.name.lower())
+        self.report_interruptions(error)
         for progress, fragment in self.batch:
             size, server = progress.job.result_bytes, self.state.server.name
-            self.home.room.give_back(server, size)
+            self.batcher.result_memory.unreserve(server, size)
             if error.dispatched:
-                self.home.room.lose(server, size, now + self.limits.kept_ms)
+                self.batcher.result_memory.record_lost(
+                    server, size, now + self.limits.result_ttl_ms
+                )
                 self.repeat(progress, fragment, PieceResult("", PieceFailure.FAILED))
             else:
                 # No server has begun the piece, so this counts as no retry.
-                progress.tries[fragment] -= 1
-                self.home.queue.add_again((progress, fragment))
+                progress.attempts[fragment] -= 1
+                self.batcher.queue.requeue((progress, fragment))
 
-    def look_into(self, error: StageError) -> None:
+    def report_interruptions(self, error: StageError) -> None:
         """Report the pieces of a broken call to the check for a crash of the server."""
         if not broke(error):
             return
-        now = self.home.clock.now()
+        now = self.batcher.clock.now()
         ran_ms = now - self.call.started
         jobs = {progress.job.fingerprint: progress.job for progress, _ in self.batch}
-        lost = [
+        interruptions = [
             Interruption(job.fingerprint, job.request, ran_ms, now, alone=len(jobs) == 1)
             for job in jobs.values()
             if job.fingerprint
         ]
-        self.home.ends.broke(self.state.server, lost)
+        self.batcher.ends.broke(self.state.server, interruptions)
 
     def repeat(self, progress: JobProgress, fragment: int, result: PieceResult) -> None:
         """Requeue a piece, or settle it as failed if no attempt or retry budget is left."""
-        if progress.has(fragment):
+        if progress.is_settled(fragment):
             return
-        if (progress, fragment) in self.home.twice:
+        if (progress, fragment) in self.batcher.hedged:
             # Its other copy is still queued or running; only a failure of that one is retried.
-            self.home.twice.discard((progress, fragment))
+            self.batcher.hedged.discard((progress, fragment))
             return
-        if progress.tries[fragment] < MOST_TRIES and self.home.budget.spend():
-            self.home.queue.add_again((progress, fragment))
+        if progress.attempts[fragment] < MAX_ATTEMPTS and self.batcher.budget.spend():
+            self.batcher.queue.requeue((progress, fragment))
         else:
             progress.settle(fragment, result)
--- a/packages/core/src/mountladder/forwarding/division.py
+++ b/packages/core/src/mountladder/forwarding/division.py
@@ -15,12 +15,12 @@
 
 # A service with fewer servers has one coordinator for all data centres: with few servers, the next
 # one of all is free much sooner than the next one of a data centre, and calls are fuller.
-LEAST_SERVERS = 10
+MIN_SERVERS = 10
 # Minimum average number of servers per data centre: if one is lost, another one is left.
-LEAST_PER_DATACENTRE = 2.0
+MIN_PER_DATACENTRE = 2.0
 # A divided service remains so down to this average (hysteresis), so that a crash of servers doesn't
 # move the coordination of its pieces as well.
-KEPT_PER_DATACENTRE = 1.2
+MIN_DIVIDED_PER_DATACENTRE = 1.2
 
 
 class Division:
@@ -43,12 +43,12 @@
         self.datacentre = datacentre
         self.divided: set[str] = set()
         self.changes = 0
-        directory.listeners.insert(0, self.renew)
+        directory.listeners.insert(0, self.update)
 
-    def renew(self) -> None:
+    def update(self) -> None:
         """Update the decisions after the list of servers has changed."""
         for service, servers in self.directory.services.items():
-            divided = self.is_worth_it(service, servers)
+            divided = self.should_divide(service, servers)
             if divided != (service in self.divided):
                 self.divided ^= {service}
                 self.changes += 1
@@ -59,19 +59,19 @@
                     version=self.directory.newest.version,
                 )
 
-    def is_worth_it(self, service: str, servers: tuple[BackendServer, ...]) -> bool:
+    def should_divide(self, service: str, servers: tuple[BackendServer, ...]) -> bool:
         """Return whether a service with these servers should be divided."""
         sizes = Counter(one.datacentre for one in servers)
         mean = len(servers) / max(1, len(sizes))
         if service in self.divided:
-            return mean >= KEPT_PER_DATACENTRE
-        return len(servers) >= LEAST_SERVERS and mean >= LEAST_PER_DATACENTRE
+            return mean >= MIN_DIVIDED_PER_DATACENTRE
+        return len(servers) >= MIN_SERVERS and mean >= MIN_PER_DATACENTRE
 
     def is_divided(self, service: str) -> bool:
         """Return whether a service has a coordinator in each data centre."""
         return service in self.divided
 
-    def has_own(self, service: str) -> bool:
+    def has_local_servers(self, service: str) -> bool:
         """Return whether this data centre has servers of a service."""
         return self.count(service, self.datacentre) > 0
 
@@ -88,5 +88,5 @@
         servers = self.directory.available(service)
         if service not in self.divided:
             return servers
-        own = tuple(one for one in servers if one.datacentre == self.datacentre)
-        return own or servers
+        local = tuple(one for one in servers if one.datacentre == self.datacentre)
+        return local or servers
--- a/packages/core/src/mountladder/forwarding/expectation.py
+++ b/packages/core/src/mountladder/forwarding/expectation.py
@@ -30,22 +30,22 @@
     gives_way: bool = False
 
     @property
-    def own_ms(self) -> float:
+    def processing_ms(self) -> float:
         """Return its expected time without waits, uncorrected by the factor, in milliseconds."""
         return self.stages_ms + self.reading_ms
 
     @property
     def ms(self) -> float:
         """Return its expected time in milliseconds."""
-        return (self.own_ms + self.waiting_ms) * self.factor
+        return (self.processing_ms + self.waiting_ms) * self.factor
 
     @property
     def route_ms(self) -> float:
         """Return the expected time of a usual request of its route now, in milliseconds."""
         return (self.usual_ms + self.waiting_ms) * self.factor
 
-    def fields(self) -> dict[str, float | bool]:
-        """Return its fields in log lines."""
+    def log_fields(self) -> dict[str, float | bool]:
+        """Return its fields for log lines."""
         return {
             "expected_ms": round(self.ms),
             "stages_ms": round(self.stages_ms),
--- a/packages/core/src/mountladder/forwarding/fetchtime.py
+++ b/packages/core/src/mountladder/forwarding/fetchtime.py
@@ -10,13 +10,13 @@
 
 # Minimum time from sending a request until its server has asked for the results: the network delay
 # and a few engine steps. A value three times as large gave no measurable difference.
-LEAST_MS = 40.0
+MIN_WAIT_MS = 40.0
 # Multiple of the transfer time, since the link of the server that holds the results is shared.
-SHARED_LINK = 3.0
+SHARED_LINK_FACTOR = 3.0
 # The wait doubles when a result was released too early, and then decays slowly.
-LONGER = 2.0
-SHORTER = 0.98
-MOST_FACTOR = 32.0
+GROWTH_FACTOR = 2.0
+DECAY_FACTOR = 0.98
+MAX_FACTOR = 32.0
 
 
 class FetchTime:
@@ -40,13 +40,13 @@
             link_mbps: The bandwidth of the links of the servers that made them in Mbit/s, or 0 if
                 unknown.
         """
-        moving_ms = SHARED_LINK * link_ms(size, link_mbps) if link_mbps else 0.0
-        return self.factor * (LEAST_MS + moving_ms)
+        transfer_ms = SHARED_LINK_FACTOR * link_ms(size, link_mbps) if link_mbps else 0.0
+        return self.factor * (MIN_WAIT_MS + transfer_ms)
 
-    def fetched(self) -> None:
+    def record_fetched(self) -> None:
         """Record that a server fetched the results in time."""
-        self.factor = max(1.0, SHORTER * self.factor)
+        self.factor = max(1.0, DECAY_FACTOR * self.factor)
 
-    def too_early(self) -> None:
+    def record_early_release(self) -> None:
         """Record that results were released before a server had fetched them."""
-        self.factor = min(MOST_FACTOR, LONGER * self.factor)
+        self.factor = min(MAX_FACTOR, GROWTH_FACTOR * self.factor)
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -122,7 +122,7 @@
                 raise
             self.log("stages-again", reason=error.detail, elapsed_ms=round(self.elapsed()))
             return self.make_inputs()
-        self.site = self.flow.site()
+        self.site = self.flow.input_datacentre()
         self.log("stages-done", results=len(inputs))
         return inputs
 
@@ -152,7 +152,7 @@
         if not self.gives_way:
             forecast.learn(self.route, self.expected_ms, self.elapsed())
         expectation = forecast.expect(self.request, self.route, self.urgency, self.gives_way)
-        back_ms = forecast.back_ms(self.request, self.route, expectation.ms)
+        back_ms = forecast.retry_after_ms(self.request, self.route, expectation.ms)
         return RefusalError(error.detail, error.code, retry_after_ms=back_ms)
 
     def begin(self) -> ForwardAttempt:
--- a/packages/core/src/mountladder/forwarding/jobprogress.py
+++ b/packages/core/src/mountladder/forwarding/jobprogress.py
@@ -26,7 +26,7 @@
 
     Attributes:
         results: The results so far, by the number of the piece.
-        tries: How often each piece was sent, by its number.
+        attempts: How often each piece was sent, by its number.
         begun: Whether any piece was put into a batch.
         ended: Whether the results were passed to done, or the stage was withdrawn.
     """
@@ -36,17 +36,17 @@
         self.done = done
         self.since = since
         self.results: dict[int, PieceResult] = {}
-        self.tries: Counter[int] = Counter()
+        self.attempts: Counter[int] = Counter()
         self.ended = False
         self.begun = False
 
-    def has(self, fragment: int) -> bool:
+    def is_settled(self, fragment: int) -> bool:
         """Return whether a piece needs no result any more."""
         return self.ended or fragment in self.results
 
     def settle(self, fragment: int, result: PieceResult) -> None:
         """Record the result of one piece; a failure ends the whole stage."""
-        if self.has(fragment):
+        if self.is_settled(fragment):
             return
         self.results[fragment] = result
         if result.failure is not None or len(self.results) == self.job.pieces:
--- a/packages/core/src/mountladder/forwarding/lentresults.py
+++ b/packages/core/src/mountladder/forwarding/lentresults.py
@@ -12,8 +12,8 @@
 # Maximum number of results remembered, several seconds' worth at a busy coordinator. A forgotten
 # result is released at its server from here, but the coordinator that had it made counts its memory
 # as used until it expires.
-MOST_KEPT = 4_096
-HERE = ""
+MAX_RESULTS = 4_096
+LOCAL = ""
 
 
 class LentResults:
@@ -22,22 +22,22 @@
     That coordinator accounts for their memory, so their release is sent to it.
 
     Attributes:
-        made_at: The coordinator's address by the handle of the result.
+        origins: The coordinator's address by the handle of the result.
     """
 
     def __init__(self) -> None:
-        self.made_at: OrderedDict[str, str] = OrderedDict()
+        self.origins: OrderedDict[str, str] = OrderedDict()
 
     def remember(self, handles: Sequence[str], address: str) -> None:
         """Record that results were made under another coordinator."""
         for handle in handles:
-            self.made_at[handle] = address
-        while len(self.made_at) > MOST_KEPT:
-            self.made_at.popitem(last=False)
+            self.origins[handle] = address
+        while len(self.origins) > MAX_RESULTS:
+            self.origins.popitem(last=False)
 
-    def sort_out(self, handles: Sequence[str]) -> dict[str, list[str]]:
-        """Remove results and return their handles by their coordinator's address, or HERE."""
-        places: dict[str, list[str]] = {}
+    def pop_by_origin(self, handles: Sequence[str]) -> dict[str, list[str]]:
+        """Remove results and return their handles by their coordinator's address, or LOCAL."""
+        by_origin: dict[str, list[str]] = {}
         for handle in handles:
-            places.setdefault(self.made_at.pop(handle, HERE), []).append(handle)
-        return places
+            by_origin.setdefault(self.origins.pop(handle, LOCAL), []).append(handle)
+        return by_origin
--- a/packages/core/src/mountladder/forwarding/piecequeue.py
+++ b/packages/core/src/mountladder/forwarding/piecequeue.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from mountladder.forwarding.backlog import by_rank, rank
+from mountladder.forwarding.backlog import rank, value_for_rank
 from mountladder.forwarding.batchlimits import BatchLimits
 from mountladder.forwarding.jobprogress import JobProgress
 from mountladder.forwarding.piecefailure import PieceFailure
@@ -19,16 +19,16 @@
 
 # A request of the next lower priority goes first only if it is due this much sooner, so that in an
 # overload the more urgent requests are served: about half of the longest latency targets.
-RANK_MS = 1_200.0
+RANK_ADVANTAGE_MS = 1_200.0
 # How long pieces wait for a server of the data centre that holds or needs their data, by their
 # request's rank: a transfer between data centres costs about as much as the least urgent request is
 # worth. They may also start this much later at the coordinator of that data centre.
-FAR_PATIENCE_MS = (150.0, 250.0, 500.0)
+LOCALITY_WAIT_MS = (150.0, 250.0, 500.0)
 # Pieces with less time left than this many full calls (their own call, and about half of the one
 # before it) don't wait for a server of that data centre: a late answer costs more than a transfer.
 # Pieces that are late anyway can wait.
-FAR_SLACK = 1.5
-Waiting = tuple[JobProgress, int]
+LOCALITY_SLACK_CALLS = 1.5
+QueuedPiece = tuple[JobProgress, int]
 
 
 class PieceQueue:
@@ -39,7 +39,7 @@
     """
 
     def __init__(self) -> None:
-        self.waiting: list[Waiting] = []
+        self.waiting: list[QueuedPiece] = []
 
     def __len__(self) -> int:
         """Return the number of waiting pieces."""
@@ -49,7 +49,7 @@
         """Queue all pieces of a stage."""
         self.waiting += [(progress, fragment) for fragment in range(progress.job.pieces)]
 
-    def add_again(self, waiting: Waiting) -> None:
+    def requeue(self, waiting: QueuedPiece) -> None:
         """Queue a piece again."""
         self.waiting.append(waiting)
 
@@ -57,14 +57,14 @@
         """Remove the pieces of a stage."""
         self.waiting = [one for one in self.waiting if one[0] is not progress]
 
-    def take(self, batch: Sequence[Waiting]) -> None:
+    def take(self, batch: Sequence[QueuedPiece]) -> None:
         """Remove the pieces of a batch that is sent."""
         chosen = set(map(id, batch))
         self.waiting = [one for one in self.waiting if id(one) not in chosen]
 
-    def by_place(self, now: float) -> Counter[int]:
+    def count_by_priority(self, now: float) -> Counter[int]:
         """Return the number of waiting pieces by priority class; late pieces are in later ones."""
-        return Counter(progress.job.place(now) for progress, _ in self.waiting)
+        return Counter(progress.job.priority_class(now) for progress, _ in self.waiting)
 
     def oldest(self, now: float) -> float:
         """Return when the longest-waiting piece was queued, or now if none waits."""
@@ -74,7 +74,7 @@
         """Sort the pieces into the order in which they are sent."""
         self.waiting.sort(key=lambda one: self.order(one, now))
 
-    def order(self, waiting: Waiting, now: float) -> tuple[bool, bool, int, float]:
+    def order(self, waiting: QueuedPiece, now: float) -> tuple[bool, bool, int, float]:
         """Return the sort key of a piece.
 
         Stages that have results come first, as these take up memory until the stage is complete.
@@ -83,12 +83,19 @@
         job = progress.job
         late = job.gives_way(now)
         urgency = rank(job.urgency)
-        return not progress.results, late, urgency if late else 0, job.due + RANK_MS * urgency
-
-    def drop_late(self, now: float) -> None:
+        return (
+            not progress.results,
+            late,
+            urgency if late else 0,
+            job.due + RANK_ADVANTAGE_MS * urgency,
+        )
+
+    def drop_expired(self, now: float) -> None:
         """Settle the pieces whose deadline has passed, or that need no result any more."""
         self.drop_unbegun(now)
-        late = [one for one in self.waiting if one[0].has(one[1]) or one[0].job.deadline <= now]
+        late = [
+            one for one in self.waiting if one[0].is_settled(one[1]) or one[0].job.deadline <= now
+        ]
         if not late:
             return
         dropped = set(map(id, late))
@@ -96,7 +103,7 @@
         for progress, fragment in late:
             progress.settle(fragment, PieceResult("", PieceFailure.LATE))
 
-    def drop_barred(self, quarantine: Quarantine) -> None:
+    def drop_quarantined(self, quarantine: Quarantine) -> None:
         """Settle the stages of requests that are quarantined for crashing servers."""
         if not quarantine.known:
             return
@@ -111,69 +118,71 @@
 
     def drop_unbegun(self, now: float) -> None:
         """Settle the stages that were not begun by the time at which they are given up."""
-        hopeless = {
+        given_up = {
             id(progress): progress
             for progress, _ in self.waiting
             if not progress.begun and progress.job.give_up <= now
         }
-        for progress in hopeless.values():
+        for progress in given_up.values():
             self.withdraw(progress)
             progress.settle(0, PieceResult("", PieceFailure.NOT_BEGUN))
 
     def choose(
         self,
         state: ServerState,
-        used: float,
-        manned: set[str],
+        used_bytes: float,
+        served_datacentres: set[str],
         limits: BatchLimits,
         now: float,
-    ) -> list[Waiting]:
+    ) -> list[QueuedPiece]:
         """Return the first pieces that fit into a server's result memory and may run there.
 
         Args:
             state: The server.
-            used: How many bytes of its result memory are in use.
-            manned: The data centres that have usable servers.
+            used_bytes: How many bytes of its result memory are in use.
+            served_datacentres: The data centres that have usable servers.
             limits: The server's batch limits.
             now: The clock's time.
         """
-        room = limits.room_bytes - used
-        batch: list[Waiting] = []
-        left_out: set[JobProgress] = set()
+        free_bytes = limits.result_memory_bytes - used_bytes
+        batch: list[QueuedPiece] = []
+        skipped: set[JobProgress] = set()
         for waiting in self.waiting:
             progress = waiting[0]
             size = progress.job.result_bytes
             begun = bool(progress.results) or any(progress is one for one, _ in batch)
-            needed = size if begun or not used else size * progress.job.pieces
-            goes = progress not in left_out and self.may_go(progress, state, manned, limits, now)
-            if not goes or needed > room:
-                left_out.add(progress)
+            needed = size if begun or not used_bytes else size * progress.job.pieces
+            may_run = progress not in skipped and self.may_run_at(
+                progress, state, served_datacentres, limits, now
+            )
+            if not may_run or needed > free_bytes:
+                skipped.add(progress)
                 continue
-            room -= size
+            free_bytes -= size
             batch.append(waiting)
             if len(batch) == limits.pieces:
                 break
         return batch
 
-    def may_go(
+    def may_run_at(
         self,
         progress: JobProgress,
         state: ServerState,
-        manned: set[str],
+        served_datacentres: set[str],
         limits: BatchLimits,
         now: float,
     ) -> bool:
         """Return whether pieces may run in a server's data centre rather than wait for another."""
-        wanted = progress.job.datacentre
-        if wanted in {"", state.server.datacentre} or wanted not in manned:
+        preferred = progress.job.datacentre
+        if preferred in {"", state.server.datacentre} or preferred not in served_datacentres:
             return True
         left_ms = progress.job.due - now
-        if limits.call_ms < left_ms < FAR_SLACK * limits.expected_ms(limits.pieces):
+        if limits.call_ms < left_ms < LOCALITY_SLACK_CALLS * limits.expected_ms(limits.pieces):
             return True
-        return now - progress.since >= by_rank(FAR_PATIENCE_MS, progress.job.urgency)
+        return now - progress.since >= value_for_rank(LOCALITY_WAIT_MS, progress.job.urgency)
 
 
-def apart(batch: list[Waiting], quarantine: Quarantine) -> list[Waiting]:
+def isolate_suspects(batch: list[QueuedPiece], quarantine: Quarantine) -> list[QueuedPiece]:
     """Return the pieces of a batch that may share one call.
 
     After a first crash the pieces of a request still share calls: a server that crashes for reasons
@@ -183,7 +192,7 @@
     """
     if not quarantine.known:
         return batch
-    ready = [one for one in batch if not _waits(one, quarantine)]
+    ready = [one for one in batch if not _must_wait(one, quarantine)]
     if not ready:
         return []
     first = ready[0][0].job.fingerprint
@@ -192,6 +201,6 @@
     return [one for one in ready if not quarantine.goes_alone(one[0].job.fingerprint)]
 
 
-def _waits(waiting: Waiting, quarantine: Quarantine) -> bool:
+def _must_wait(waiting: QueuedPiece, quarantine: Quarantine) -> bool:
     fingerprint = waiting[0].job.fingerprint
     return quarantine.goes_alone(fingerprint) and quarantine.wait_ms(fingerprint) > 0
--- a/packages/core/src/mountladder/forwarding/piecerate.py
+++ b/packages/core/src/mountladder/forwarding/piecerate.py
@@ -13,7 +13,7 @@
 # Time over which pieces are counted: about seven full calls.
 WINDOW_MS = 2_000.0
 # A rate is reported only once pieces have waited this long, so that several calls are counted.
-LEAST_MS = 800.0
+MIN_CONGESTED_MS = 800.0
 
 
 class PieceRate:
@@ -28,26 +28,26 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.made: deque[tuple[float, int]] = deque()
-        self.crowded_since: float | None = None
+        self.completed: deque[tuple[float, int]] = deque()
+        self.congested_since: float | None = None
 
     def add(self, pieces: int) -> None:
         """Record the pieces of a completed call."""
-        self.made.append((self.clock.now(), pieces))
+        self.completed.append((self.clock.now(), pieces))
 
-    def watch(self, crowded: bool) -> None:
+    def set_congested(self, congested: bool) -> None:
         """Record whether pieces wait longer than until the next server is free."""
-        if not crowded:
-            self.crowded_since = None
-        elif self.crowded_since is None:
-            self.crowded_since = self.clock.now()
+        if not congested:
+            self.congested_since = None
+        elif self.congested_since is None:
+            self.congested_since = self.clock.now()
 
     def measured(self) -> float | None:
         """Return the throughput in pieces per millisecond, or None without enough data."""
         now = self.clock.now()
-        while self.made and self.made[0][0] <= now - WINDOW_MS:
-            self.made.popleft()
-        if self.crowded_since is None or now - self.crowded_since < LEAST_MS:
+        while self.completed and self.completed[0][0] <= now - WINDOW_MS:
+            self.completed.popleft()
+        if self.congested_since is None or now - self.congested_since < MIN_CONGESTED_MS:
             return None
-        counted_ms = min(WINDOW_MS, now - self.crowded_since)
-        return sum(pieces for at, pieces in self.made if at > now - counted_ms) / counted_ms
+        counted_ms = min(WINDOW_MS, now - self.congested_since)
+        return sum(pieces for at, pieces in self.completed if at > now - counted_ms) / counted_ms
--- a/packages/core/src/mountladder/forwarding/releaser.py
+++ b/packages/core/src/mountladder/forwarding/releaser.py
@@ -26,10 +26,10 @@
         upstream: Calls the servers.
         directory: Lists the servers, and those that get no calls; results there are left to expire.
         clock: The clock.
-        heard: Receives the notices that answers carry about their servers; see ForwardCall.
-        freed: Called with the handles once the servers have dropped the results.
-        spared: Returns the addresses of servers that limit their rate or asked for back-off.
-        is_kept: Returns whether a result still takes up memory.
+        on_notices: Receives the notices that answers carry about their servers; see ForwardCall.
+        on_released: Called with the handles once the servers have dropped the results.
+        restricted: Returns the addresses of servers that limit their rate or asked for back-off.
+        is_stored: Returns whether a result still takes up memory.
 
     Attributes:
         held: Handles of results at those servers, by address. Releasing them would use up one of
@@ -42,18 +42,18 @@
         upstream: Upstream,
         directory: Directory,
         clock: Clock,
-        freed: Callable[[Sequence[str]], None],
-        heard: Heard,
-        spared: Callable[[], frozenset[str]],
-        is_kept: Callable[[str], bool],
+        on_released: Callable[[Sequence[str]], None],
+        on_notices: Heard,
+        restricted: Callable[[], frozenset[str]],
+        is_stored: Callable[[str], bool],
     ) -> None:
         self.upstream = upstream
         self.directory = directory
         self.clock = clock
-        self.freed = freed
-        self.heard = heard
-        self.spared = spared
-        self.is_kept = is_kept
+        self.on_released = on_released
+        self.on_notices = on_notices
+        self.restricted = restricted
+        self.is_stored = is_stored
         self.held: dict[str, list[str]] = {}
         self.handles: list[str] = []
         self.cancel: Callable[[], None] | None = None
@@ -72,43 +72,43 @@
             gevent.spawn(self.free, handles)
 
     def free(self, handles: Sequence[str]) -> None:
-        """Release results, except at servers to be spared; call freed afterwards."""
-        closed, spared = self.directory.closed, self.spared()
-        given_up = self.take_back(spared)
+        """Release results, except at restricted servers; call on_released afterwards."""
+        closed, restricted = self.directory.closed, self.restricted()
+        releasable = self.pop_releasable(restricted)
         for handle in handles:
             address = handle.partition("/")[0]
-            if address in spared:
+            if address in restricted:
                 self.held.setdefault(address, []).append(handle)
             elif address not in closed:
-                given_up.append(handle)
-        self.free_now(given_up)
+                releasable.append(handle)
+        self.release_now(releasable)
 
-    def take_back(self, spared: frozenset[str]) -> list[str]:
-        """Remove and return results held back at servers no longer spared; drop expired ones."""
-        given_up: list[str] = []
+    def pop_releasable(self, restricted: frozenset[str]) -> list[str]:
+        """Remove and return the results to release of those held back; drop expired ones."""
+        releasable: list[str] = []
         for address, handles in list(self.held.items()):
-            left = [one for one in handles if self.is_kept(one)]
-            if left and address in spared:
+            left = [one for one in handles if self.is_stored(one)]
+            if left and address in restricted:
                 self.held[address] = left
             else:
                 del self.held[address]
-                given_up += left
-        return given_up
+                releasable += left
+        return releasable
 
-    def free_held(self, address: str) -> None:
+    def release_held(self, address: str) -> None:
         """Release the unexpired results held back at a server, in one call."""
-        handles = [one for one in self.held.pop(address, ()) if self.is_kept(one)]
+        handles = [one for one in self.held.pop(address, ()) if self.is_stored(one)]
         if handles:
-            gevent.spawn(self.free_now, handles)
+            gevent.spawn(self.release_now, handles)
 
-    def free_now(self, handles: Sequence[str]) -> None:
-        """Release results regardless of limits and back-off; call freed afterwards."""
+    def release_now(self, handles: Sequence[str]) -> None:
+        """Release results regardless of limits and back-off; call on_released afterwards."""
         by_address: dict[str, list[str]] = {}
         for handle in handles:
             by_address.setdefault(handle.partition("/")[0], []).append(handle)
-        for address, freed in by_address.items():
+        for address, grouped in by_address.items():
             # A server that is no longer listed is gone, and its results with it.
             server = self.directory.listed_at.get(address)
             if server is not None:
-                self.upstream.free(server, freed, self.heard)
-        self.freed(handles)
+                self.upstream.free(server, grouped, self.on_notices)
+        self.on_released(handles)
--- a/packages/core/src/mountladder/forwarding/resultroom.py
+++ b/packages/core/src/mountladder/forwarding/resultmemory.py
@@ -1,4 +1,4 @@
-# resultroom.py -- Tracks the memory that results take up at the servers of a stage service
+# resultmemory.py -- Tracks the memory that results take up at the servers of a stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -9,7 +9,7 @@
 from collections import Counter
 
 
-class ResultRoom:
+class ResultMemory:
     """Memory used by the results that one instance had made at the servers of a service.
 
     A result counts from the start of its call until it is released, or until the server expires it
@@ -31,7 +31,7 @@
         self.foreign: dict[str, tuple[float, float, float]] = {}
         self.lost: dict[str, list[tuple[float, float]]] = {}
 
-    def taken(self, server: str, now: float) -> float:
+    def used_bytes(self, server: str, now: float) -> float:
         """Return the estimated number of bytes in use at a server.
 
         Results of other instances are assumed to disappear linearly until the last one expires.
@@ -43,7 +43,7 @@
             return known
         return known + size * (until - now) / (until - since)
 
-    def lose(self, server: str, size: float, until: float) -> None:
+    def record_lost(self, server: str, size: float, until: float) -> None:
         """Record a result that may have been made but whose handle is unknown."""
         self.lost.setdefault(server, []).append((size, until))
 
@@ -54,27 +54,29 @@
             self.lost[server] = lost
         return sum(size for size, _ in lost)
 
-    def found_full(self, server: str, unknown: float, now: float, kept_ms: float) -> None:
+    def record_full(
+        self, server: str, expected_free: float, now: float, result_ttl_ms: float
+    ) -> None:
         """Record that a server had no free memory although some was expected.
 
         Args:
             server: The name of the server.
-            unknown: How many bytes were expected to be free after the call.
+            expected_free: How many bytes were expected to be free after the call.
             now: The clock's time.
-            kept_ms: How long a result is kept, in milliseconds.
+            result_ttl_ms: How long a result is kept, in milliseconds.
         """
-        if unknown > 0.0:
-            self.foreign[server] = (unknown, now, now + kept_ms)
+        if expected_free > 0.0:
+            self.foreign[server] = (expected_free, now, now + result_ttl_ms)
 
     def reserve(self, server: str, size: float) -> None:
         """Reserve memory for a result of a call that begins."""
         self.used[server] += size
 
-    def give_back(self, server: str, size: float) -> None:
+    def unreserve(self, server: str, size: float) -> None:
         """Cancel the reservation of a piece that has no result."""
         self.used[server] = max(0.0, self.used[server] - size)
 
-    def keep(self, handle: str, server: str, size: float, until: float) -> None:
+    def record_result(self, handle: str, server: str, size: float, until: float) -> None:
         """Record a result and when it expires."""
         self.results[handle] = (server, size, until)
 
@@ -82,10 +84,10 @@
         """Record that a result was released."""
         server, size, _ = self.results.pop(handle, ("", 0.0, 0.0))
         if server:
-            self.give_back(server, size)
+            self.unreserve(server, size)
 
-    def drop_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Remove the results that have expired."""
-        old = [handle for handle, (_, _, until) in self.results.items() if until <= now]
-        for handle in old:
+        expired = [handle for handle, (_, _, until) in self.results.items() if until <= now]
+        for handle in expired:
             self.release(handle)
--- a/packages/core/src/mountladder/forwarding/stagebacklogs.py
+++ b/packages/core/src/mountladder/forwarding/stagebacklogs.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from mountladder.clocks.clock import Clock
-from mountladder.forwarding.backlog import Backlog, place
+from mountladder.forwarding.backlog import Backlog, priority_class
 from mountladder.forwarding.batcher import Batcher
 from mountladder.forwarding.fleet import Fleet
 from mountladder.forwarding.lending import Lending
@@ -26,7 +26,7 @@
         clock: The clock.
 
     Attributes:
-        told: The newest backlog that another instance reported for a service, and when.
+        reported: The newest backlog that another instance reported for a service, and when.
     """
 
     def __init__(
@@ -42,40 +42,40 @@
         self.batcher = batcher
         self.lending = lending
         self.clock = clock
-        self.told: dict[str, tuple[Backlog, float]] = {}
+        self.reported: dict[str, tuple[Backlog, float]] = {}
 
-    def here(self) -> tuple[Backlog, ...]:
+    def local_backlogs(self) -> tuple[Backlog, ...]:
         """Return the backlogs of the services that this instance coordinates."""
         # Divided services are included without local pieces too: other data centres may lend some.
-        met = self.batchers.keys() | self.fleet.division.divided
-        services = [one for one in sorted(met) if self.fleet.home(one) is None]
-        return tuple(self.own(service) for service in services)
+        coordinated = self.batchers.keys() | self.fleet.division.divided
+        services = [one for one in sorted(coordinated) if self.fleet.home(one) is None]
+        return tuple(self.local_backlog(service) for service in services)
 
-    def own(self, service: str) -> Backlog:
+    def local_backlog(self, service: str) -> Backlog:
         """Return the backlog of a service coordinated here, taking lending into account."""
         own = self.batcher(service).backlog()
         if not self.fleet.division.is_divided(service):
             return own
-        elsewhere = self.lending.least_waits(service, self.fleet.places(service))
+        elsewhere = self.lending.min_waits_ms(service, self.fleet.places(service))
         waits = tuple(min(pair) for pair in zip(own.waits_ms, elsewhere, strict=True))
         return Backlog(service, waits, own.waits_ms)
 
-    def take(self, backlog: Backlog, datacentre: str) -> None:
+    def record(self, backlog: Backlog, datacentre: str) -> None:
         """Record the backlog of a service that another instance coordinates."""
-        if backlog.own_ms and datacentre != self.fleet.membership.me.datacentre:
-            self.lending.hear(backlog, datacentre)
+        if backlog.local_waits_ms and datacentre != self.fleet.membership.me.datacentre:
+            self.lending.record_backlog(backlog, datacentre)
         else:
-            self.told[backlog.service] = (backlog, self.clock.now())
+            self.reported[backlog.service] = (backlog, self.clock.now())
 
     def wait_ms(self, service: str, urgency: int, gives_way: bool = False) -> float:
         """Return how long new pieces of a service are expected to wait, in milliseconds.
 
         A wait that another instance reported is reduced by the time since the report.
         """
-        here = place(urgency, gives_way)
+        priority = priority_class(urgency, gives_way)
         if self.fleet.home(service) is None:
-            return self.own(service).waits_ms[here]
-        backlog, told = self.told.get(service, (None, 0.0))
+            return self.local_backlog(service).waits_ms[priority]
+        backlog, reported_at = self.reported.get(service, (None, 0.0))
         if backlog is None:
             return 0.0
-        return max(0.0, backlog.waits_ms[here] - (self.clock.now() - told))
+        return max(0.0, backlog.waits_ms[priority] - (self.clock.now() - reported_at))
--- a/packages/core/src/mountladder/forwarding/stagecallstate.py
+++ b/packages/core/src/mountladder/forwarding/stagecallstate.py
@@ -23,6 +23,6 @@
     expected_ms: float
     pieces: int
 
-    def left(self, now: float) -> float:
+    def remaining_ms(self, now: float) -> float:
         """Return the expected time until it completes, in milliseconds."""
         return max(0.0, self.started + self.expected_ms - now)
--- a/packages/core/src/mountladder/forwarding/stagedemand.py
+++ b/packages/core/src/mountladder/forwarding/stagedemand.py
@@ -9,17 +9,17 @@
 from collections import Counter
 
 from mountladder.clocks.clock import Clock
-from mountladder.forwarding.backlog import PLACES, place
+from mountladder.forwarding.backlog import PRIORITY_CLASSES, priority_class
 from mountladder.forwarding.stagejob import StageJob
 from mountladder.forwarding.stagenotice import StageNotice
 from mountladder.limits.rankrates import RankRates
 
 # An announcement expires after this time if its pieces have not arrived.
-ANNOUNCED_MS = 2_500.0
+ANNOUNCEMENT_TTL_MS = 2_500.0
 # Minimum fraction of the throughput that is assumed to be left for the least urgent pieces, since
 # more urgent ones go first only if they are due soon. With 0.1, expected waits reached 30 s that
 # never occurred, and requests were refused for them.
-LEAST_RATE = 0.35
+MIN_RATE_FRACTION = 0.35
 
 
 class StageDemand:
@@ -39,21 +39,21 @@
         key = (notice.request, notice.stage)
         self.announced.pop(key, None)
         if notice.pieces:
-            self.announced[key] = (notice, self.clock.now() + ANNOUNCED_MS)
+            self.announced[key] = (notice, self.clock.now() + ANNOUNCEMENT_TTL_MS)
 
-    def came(self, job: StageJob) -> None:
+    def record_arrival(self, job: StageJob) -> None:
         """Record that the pieces of a stage have arrived."""
         self.announced.pop((job.request, job.stage), None)
-        self.rates.add(job.place(self.clock.now()), job.pieces)
+        self.rates.add(job.priority_class(self.clock.now()), job.pieces)
 
-    def coming(self) -> Counter[int]:
+    def count_announced(self) -> Counter[int]:
         """Return the number of announced pieces that have not arrived, by priority class."""
         now = self.clock.now()
         self.announced = {key: one for key, one in self.announced.items() if one[1] > now}
-        coming: Counter[int] = Counter()
+        counts: Counter[int] = Counter()
         for notice, _ in self.announced.values():
-            coming[place(notice.urgency, notice.gives_way)] += notice.pieces
-        return coming
+            counts[priority_class(notice.urgency, notice.gives_way)] += notice.pieces
+        return counts
 
     def waits_ms(self, waiting: Counter[int], rate: float, busy_ms: float) -> tuple[float, ...]:
         """Return the expected waits of new pieces in milliseconds, by priority class.
@@ -63,10 +63,10 @@
             rate: The throughput of all servers in pieces per millisecond.
             busy_ms: The time until the first server is free, in milliseconds.
         """
-        ahead = waiting + self.coming()
+        ahead = waiting + self.count_announced()
         waits = []
-        for here in PLACES:
+        for priority in PRIORITY_CLASSES:
             # More urgent pieces that arrive meanwhile go first.
-            left = max(LEAST_RATE * rate, rate - self.rates.above(here))
-            waits.append(busy_ms + sum(ahead[one] for one in range(here + 1)) / left)
+            left_rate = max(MIN_RATE_FRACTION * rate, rate - self.rates.above(priority))
+            waits.append(busy_ms + sum(ahead[one] for one in range(priority + 1)) / left_rate)
         return tuple(waits)
--- a/packages/core/src/mountladder/forwarding/stagedispatch.py
+++ b/packages/core/src/mountladder/forwarding/stagedispatch.py
@@ -48,8 +48,8 @@
     Attributes:
         batchers: The batchers of this instance, by their service.
         submissions: The stages that are not done, by their numbers.
-        foreign: Those of them that a peer handed over to this instance, by the link's id and the
-            peer's number.
+        peer_submissions: Those of them that a peer handed over to this instance, by the link's id
+            and the peer's number.
         lent_results: The origins of results that other data centres made for this one.
     """
 
@@ -60,19 +60,19 @@
         self.batchers: dict[str, Batcher] = {}
         self.numbers = itertools.count(1)
         self.submissions: dict[int, Submission] = {}
-        self.foreign: dict[tuple[int, int], Submission] = {}
+        self.peer_submissions: dict[tuple[int, int], Submission] = {}
         self.lent_results = LentResults()
         self.lending = Lending(clock, fleet.membership.me.datacentre)
         self.backlogs = StageBacklogs(fleet, self.batchers, self.batcher, self.lending, clock)
-        fleet.backlogs = self.backlogs.here
-        fleet.on_backlog = self.backlogs.take
-        fleet.subscribe(StageOrder, self.take_order)
-        fleet.subscribe(StageOutcome, self.take_outcome)
-        fleet.subscribe(StageNotice, self.take_notice)
-        fleet.subscribe(StageRelease, self.take_release)
-        fleet.subscribe(StageWithdrawal, self.take_withdrawal)
-        fleet.on_link_lost = self.move_from
-        fleet.peer_gone.append(self.drop)
+        fleet.backlogs = self.backlogs.local_backlogs
+        fleet.on_backlog = self.backlogs.record
+        fleet.subscribe(StageOrder, self.handle_order)
+        fleet.subscribe(StageOutcome, self.handle_outcome)
+        fleet.subscribe(StageNotice, self.handle_notice)
+        fleet.subscribe(StageRelease, self.handle_release)
+        fleet.subscribe(StageWithdrawal, self.handle_withdrawal)
+        fleet.on_link_lost = self.reassign_from
+        fleet.peer_gone.append(self.withdraw_from_peer)
 
     def batcher(self, service: str) -> Batcher:
         """Return this instance's batcher of a service, created if there is none."""
@@ -89,71 +89,71 @@
         """Submit a stage; done is called once with the results of its pieces."""
         submission = Submission(next(self.numbers), job, done)
         self.submissions[submission.number] = submission
-        self.place(submission)
+        self.assign(submission)
         return submission
 
-    def place(self, submission: Submission) -> None:
+    def assign(self, submission: Submission) -> None:
         """Send a stage to its service's coordinator, or assign it here if this instance is that."""
         link = self.fleet.home(submission.job.service)
         if link is not None:
-            self.hand_over(submission, link, lent=False)
+            self.send_to(submission, link, lent=False)
         else:
-            self.place_here(submission)
+            self.run_or_lend(submission)
 
-    def hand_over(self, submission: Submission, link: Link, lent: bool) -> None:
+    def send_to(self, submission: Submission, link: Link, lent: bool) -> None:
         """Send a stage to another instance."""
-        submission.home = link.peer.peer
+        submission.assignee = link.peer.peer
         submission.lent = lent
         job = submission.job.shifted(-self.clock.now())
         self.fleet.send_later(link, StageOrder(submission.number, job, lent))
 
-    def place_here(self, submission: Submission) -> None:
+    def run_or_lend(self, submission: Submission) -> None:
         """Run a stage of a service coordinated here, or lend it to another data centre."""
         job = submission.job
-        places = self.fleet.places(job.service) if self.is_divided(job.service) else {}
-        there = self.lending_target(job, places)
-        if there:
-            self.batcher(job.service).demand.came(job)
-            self.hand_over(submission, places[there], lent=True)
+        coordinators = self.fleet.places(job.service) if self.is_divided(job.service) else {}
+        target = self.lending_target(job, coordinators)
+        if target:
+            self.batcher(job.service).demand.record_arrival(job)
+            self.send_to(submission, coordinators[target], lent=True)
         else:
-            self.take_on(submission)
+            self.run_here(submission)
 
     def is_divided(self, service: str) -> bool:
         """Return whether a service has a coordinator in each data centre."""
         return self.fleet.division.is_divided(service)
 
-    def lending_target(self, job: StageJob, places: Mapping[str, Link]) -> str:
+    def lending_target(self, job: StageJob, coordinators: Mapping[str, Link]) -> str:
         """Return the data centre to lend a stage to, or an empty string to run it here."""
-        if not places:
+        if not coordinators:
             return ""
         batcher = self.batcher(job.service)
         now = self.clock.now()
-        here = job.place(now)
-        own_ms = math.inf
-        if self.fleet.division.has_own(job.service):
-            own_ms = batcher.newest_backlog(now).waits_ms[here]
-        there = self.lending.choose(job, own_ms, places)
+        priority = job.priority_class(now)
+        local_wait_ms = math.inf
+        if self.fleet.division.has_local_servers(job.service):
+            local_wait_ms = batcher.compute_backlog(now).waits_ms[priority]
+        target = self.lending.choose(job, local_wait_ms, coordinators)
         limits = batcher.limits()
-        if there and limits is not None:
-            servers = self.fleet.division.count(job.service, there)
+        if target and limits is not None:
+            servers = self.fleet.division.count(job.service, target)
             piece_ms = limits.expected_ms(limits.pieces) / (limits.pieces * max(1, servers))
             log_message(
                 "stage-lent",
                 request=job.request,
                 service=job.service,
                 pieces=job.pieces,
-                datacentre=there,
+                datacentre=target,
                 preferred=job.datacentre,
-                local_wait_ms=own_ms if math.isinf(own_ms) else round(own_ms),
-                remote_wait_ms=round(self.lending.wait_ms(job.service, there, here)),
+                local_wait_ms=local_wait_ms if math.isinf(local_wait_ms) else round(local_wait_ms),
+                remote_wait_ms=round(self.lending.wait_ms(job.service, target, priority)),
             )
-            self.lending.lend(job, there, piece_ms)
-        return there
+            self.lending.lend(job, target, piece_ms)
+        return target
 
-    def take_on(self, submission: Submission) -> None:
+    def run_here(self, submission: Submission) -> None:
         """Queue the pieces of a stage at this instance's batcher."""
         job = submission.job
-        submission.home = ""
+        submission.assignee = ""
         submission.lent = False
 
         def settled(results: Results) -> None:
@@ -168,11 +168,11 @@
         submission = self.submissions.pop(number, None)
         if submission is None:
             return False
-        if submission.moved:
+        if submission.reassigned:
             # The instance that had the stage before may have begun it.
-            results = tuple(_certain(result) for result in results)
+            results = tuple(_without_not_begun(result) for result in results)
         if submission.lent:
-            self.lent_results.remember(_handles(results), submission.home)
+            self.lent_results.remember(_handles(results), submission.assignee)
         submission.done(results)
         return True
 
@@ -182,87 +182,87 @@
             return
         if submission.progress is not None:
             self.batcher(submission.job.service).withdraw(submission.progress)
-        link = self.fleet.links.get(submission.home)
+        link = self.fleet.links.get(submission.assignee)
         if link is not None:
             self.fleet.send_later(link, StageWithdrawal(submission.number))
 
     def announce(self, notice: StageNotice) -> None:
         """Announce pieces to their service's coordinator."""
-        self.hand(notice, lambda: self.batcher(notice.service).demand.announce(notice))
+        self.send_or_apply(notice, lambda: self.batcher(notice.service).demand.announce(notice))
 
     def release(self, service: str, handles: Sequence[str]) -> None:
         """Release results of a service through its coordinator."""
-        named = tuple(handle for handle in handles if handle)
-        if not named:
+        valid = tuple(handle for handle in handles if handle)
+        if not valid:
             return
-        self.hand(StageRelease(service, named), lambda: self.release_here(service, named))
+        self.send_or_apply(StageRelease(service, valid), lambda: self.release_here(service, valid))
 
-    def hand(self, message: StageNotice | StageRelease, take: Callable[[], None]) -> None:
-        """Send a message to its service's coordinator; call take if that is this instance."""
+    def send_or_apply(self, message: StageNotice | StageRelease, apply: Callable[[], None]) -> None:
+        """Send a message to its service's coordinator; call apply if that is this instance."""
         link = self.fleet.home(message.service)
         if link is None:
-            take()
+            apply()
         else:
             self.fleet.send_later(link, message)
 
-    def take_notice(self, notice: StageNotice, link: Link) -> None:
+    def handle_notice(self, notice: StageNotice, link: Link) -> None:
         """Handle an announcement of pieces from another instance."""
         self.batcher(notice.service).demand.announce(notice)
 
-    def take_release(self, release: StageRelease, link: Link) -> None:
+    def handle_release(self, release: StageRelease, link: Link) -> None:
         """Handle the release of results by another instance."""
         self.release_here(release.service, release.handles)
 
     def release_here(self, service: str, handles: Sequence[str]) -> None:
         """Release results; those that were lent out, through the coordinator that had them made."""
-        for address, named in self.lent_results.sort_out(handles).items():
+        for address, grouped in self.lent_results.pop_by_origin(handles).items():
             link = self.fleet.links.get(address)
             if link is None:
-                self.batcher(service).release(named)
+                self.batcher(service).release(grouped)
             else:
-                self.fleet.send_later(link, StageRelease(service, tuple(named)))
+                self.fleet.send_later(link, StageRelease(service, tuple(grouped)))
 
-    def move_from(self, address: str) -> None:
+    def reassign_from(self, address: str) -> None:
         """Reassign the stages of an instance that has become unreachable."""
-        lost = [one for one in self.submissions.values() if one.home == address]
+        lost = [one for one in self.submissions.values() if one.assignee == address]
         if lost:
-            log_message("stages-moved", instance=address, stages=len(lost))
+            log_message("stages-reassigned", instance=address, stages=len(lost))
         for submission in lost:
-            submission.moved = True
-            self.place(submission)
+            submission.reassigned = True
+            self.assign(submission)
 
-    def take_order(self, order: StageOrder, link: Link) -> None:
+    def handle_order(self, order: StageOrder, link: Link) -> None:
         """Handle a stage that another instance hands over."""
         key = (id(link), order.number)
 
         def done(results: Results) -> None:
             """Send the results back."""
-            self.foreign.pop(key, None)
-            backlog = self.backlogs.own(order.job.service)
+            self.peer_submissions.pop(key, None)
+            backlog = self.backlogs.local_backlog(order.job.service)
             self.fleet.send_later(link, StageOutcome(order.number, results, backlog))
 
         job = order.job.shifted(self.clock.now())
         submission = Submission(next(self.numbers), job, done)
-        self.submissions[submission.number] = self.foreign[key] = submission
+        self.submissions[submission.number] = self.peer_submissions[key] = submission
         if order.lent:
-            self.take_on(submission)
+            self.run_here(submission)
         else:
-            self.place_here(submission)
+            self.run_or_lend(submission)
 
-    def drop(self, link: Link) -> None:
+    def withdraw_from_peer(self, link: Link) -> None:
         """Withdraw the stages of a peer that has become unreachable.
 
         It has reassigned them or has stopped, so nothing waits for their results here.
         """
-        lost = [key for key in self.foreign if key[0] == id(link)]
+        lost = [key for key in self.peer_submissions if key[0] == id(link)]
         if lost:
             log_message("stages-dropped", peer=link.peer.name, stages=len(lost))
         for key in lost:
-            self.withdraw(self.foreign.pop(key))
+            self.withdraw(self.peer_submissions.pop(key))
 
-    def take_outcome(self, outcome: StageOutcome, link: Link) -> None:
+    def handle_outcome(self, outcome: StageOutcome, link: Link) -> None:
         """Handle the results of a stage that was handed over to another instance."""
-        self.backlogs.take(outcome.backlog, link.peer.datacentre)
+        self.backlogs.record(outcome.backlog, link.peer.datacentre)
         if self.settle(outcome.number, outcome.results):
             return
         # The stage was withdrawn while these results were in flight.
@@ -274,9 +274,9 @@
         """Return how long new pieces of a service are expected to wait, in milliseconds."""
         return self.backlogs.wait_ms(service, urgency, gives_way)
 
-    def take_withdrawal(self, withdrawal: StageWithdrawal, link: Link) -> None:
+    def handle_withdrawal(self, withdrawal: StageWithdrawal, link: Link) -> None:
         """Handle the withdrawal of a stage by the instance that handed it over."""
-        submission = self.foreign.pop((id(link), withdrawal.number), None)
+        submission = self.peer_submissions.pop((id(link), withdrawal.number), None)
         if submission is not None:
             self.withdraw(submission)
 
@@ -285,7 +285,7 @@
     return tuple(one.handle for one in results if one.handle)
 
 
-def _certain(result: PieceResult) -> PieceResult:
+def _without_not_begun(result: PieceResult) -> PieceResult:
     if result.failure is PieceFailure.NOT_BEGUN:
         return PieceResult("", PieceFailure.LATE)
     return result
--- a/packages/core/src/mountladder/forwarding/stageflow.py
+++ b/packages/core/src/mountladder/forwarding/stageflow.py
@@ -28,11 +28,11 @@
 
 # A request with no stage begun after this multiple of its latency target is refused, so that its
 # caller can retry later instead of waiting for an answer that would be late.
-GIVE_UP_AIMS = 2.0
+GIVE_UP_TARGETS = 2.0
 # A stage that reads or makes more than this runs in the data centre that holds or needs the data:
 # transfers between data centres are charged by the gigabyte.
 LARGE_BYTES = 1_000_000.0
-_FAILURES = {
+_FAILURE_CODES = {
     PieceFailure.INPUT_GONE: Code.RESULT_GONE,
     PieceFailure.QUARANTINED: Code.SERVERS_ENDED,
 }
@@ -56,7 +56,7 @@
 
     Attributes:
         handles: The handles of the results of each completed stage, by its number.
-        places: The data centres that store these results, by the stage's number.
+        locations: The data centres that store these results, by the stage's number.
         waiting: The submitted stages that are not done, by their number.
         failure: The failure that ended the run, or None.
         begun: Whether any piece may have been worked on.
@@ -83,9 +83,9 @@
         self.promised_ms = route.aim_ms if promised_ms is None else promised_ms
         self.give_up = math.inf
         if may_refuse:
-            self.give_up = request.arrived + GIVE_UP_AIMS * route.aim_ms
+            self.give_up = request.arrived + GIVE_UP_TARGETS * route.aim_ms
         self.handles: dict[int, tuple[str, ...]] = {}
-        self.places: dict[int, tuple[str, ...]] = {}
+        self.locations: dict[int, tuple[str, ...]] = {}
         self.waiting: dict[int, Submission] = {}
         self.failure: PieceFailure | None = None
         self.changed = Event()
@@ -119,10 +119,10 @@
     def announce(self) -> None:
         """Announce the pieces of all stages that depend on others."""
         for number, stage in enumerate(self.route.stages):
-            if stage.after and self.times.has(number):
-                self.notice(number, self.request.pieces[number])
+            if stage.after and self.times.has_pieces(number):
+                self.announce_stage(number, self.request.pieces[number])
 
-    def notice(self, number: int, pieces: int) -> None:
+    def announce_stage(self, number: int, pieces: int) -> None:
         """Announce pieces of a stage; 0 withdraws the announcement."""
         service = self.service(number)
         notice = StageNotice(self.request.id, number, service, pieces, self.urgency, self.gives_way)
@@ -137,7 +137,7 @@
             self.begun = False
             raise RefusalError("no server began a stage in time", Code.DEADLINE_UNMEETABLE)
         if self.failure is not None:
-            code = _FAILURES.get(self.failure, Code.STAGE_FAILED)
+            code = _FAILURE_CODES.get(self.failure, Code.STAGE_FAILED)
             raise RunError(f"a stage failed: {self.failure.value}", code)
         if not in_time:
             raise RunError("the deadline passed during the stages", Code.DEADLINE_PASSED)
@@ -147,8 +147,8 @@
         for number, stage in enumerate(self.route.stages):
             if number in self.handles or number in self.waiting:
                 continue
-            fed = all(needed in self.handles for needed in stage.after)
-            if fed and not self.is_early(number):
+            is_ready = all(needed in self.handles for needed in stage.after)
+            if is_ready and not self.should_delay(number):
                 self.start(number)
 
     def has_begun_others(self) -> bool:
@@ -160,7 +160,7 @@
         pieces = self.request.pieces[number] if number < len(self.request.pieces) else 0
         if pieces == 0:
             self.handles[number] = ()
-            self.places[number] = ()
+            self.locations[number] = ()
             self.changed.set()
             return
         if self.begun:
@@ -168,7 +168,7 @@
             self.give_up = math.inf
         self.begun = True
         submission = self.dispatch.submit(
-            self.job(number, pieces), lambda results: self.ended(number, results)
+            self.job(number, pieces), lambda results: self.complete(number, results)
         )
         if number not in self.handles:
             self.waiting[number] = submission
@@ -186,10 +186,10 @@
             key="" if stage.after else self.request.piece_key,
             inputs=inputs,
             deadline=self.deadline,
-            due=due - self.times.ms_after(number),
+            due=due - self.times.following_ms(number),
             urgency=self.urgency,
             result_bytes=stage.result_bytes,
-            datacentre=self.wanted(number, pieces),
+            datacentre=self.preferred_datacentre(number, pieces),
             give_up=self.give_up,
             fingerprint=self.stage_fingerprint(stage.service),
         )
@@ -198,49 +198,51 @@
         """Return the fingerprint of the request at a stage service, or an empty string."""
         return stage_fingerprint(self.fingerprint, service) if self.fingerprint else ""
 
-    def wanted(self, number: int, pieces: int) -> str:
+    def preferred_datacentre(self, number: int, pieces: int) -> str:
         """Return the preferred data centre of a stage, or an empty string for any."""
         stage = self.route.stages[number]
-        lying = [place for needed in stage.after for place in self.places[needed]]
+        sources = [location for needed in stage.after for location in self.locations[needed]]
         fetched = sum(
-            self.route.stages[needed].result_bytes * len(self.places[needed])
+            self.route.stages[needed].result_bytes * len(self.locations[needed])
             for needed in stage.after
         )
-        if lying and fetched * pieces > LARGE_BYTES:
-            return max(set(lying), key=lying.count)
+        if sources and fetched * pieces > LARGE_BYTES:
+            return max(set(sources), key=sources.count)
         return ""
 
-    def site(self) -> str:
+    def input_datacentre(self) -> str:
         """Return the data centre with most of the request's input, or empty if that is small."""
         sizes: Counter[str] = Counter()
         for number in self.route.last_stages():
-            for place in self.places.get(number, ()):
-                sizes[place] += self.route.stages[number].result_bytes
-        place, size = max(sizes.items(), key=lambda one: one[1], default=("", 0.0))
-        return place if size > LARGE_BYTES else ""
+            for location in self.locations.get(number, ()):
+                sizes[location] += self.route.stages[number].result_bytes
+        location, size = max(sizes.items(), key=lambda one: one[1], default=("", 0.0))
+        return location if size > LARGE_BYTES else ""
 
-    def is_heavy(self, number: int) -> bool:
+    def has_large_results(self, number: int) -> bool:
         """Return whether the request itself fetches large results of a stage."""
         stage = self.route.stages[number]
         return number in self.route.last_stages() and stage.result_bytes > LARGE_BYTES
 
-    def is_early(self, number: int) -> bool:
+    def should_delay(self, number: int) -> bool:
         """Return whether a stage's large results would just wait for slower stages."""
-        if not self.is_heavy(number):
+        if not self.has_large_results(number):
             return False
         wait_ms = self.dispatch.wait_ms(self.service(number), self.urgency, self.gives_way)
-        return self.others_ms(number) > wait_ms + self.times.stage_ms(number)
+        return self.other_stages_ms(number) > wait_ms + self.times.stage_ms(number)
 
-    def others_ms(self, number: int) -> float:
+    def other_stages_ms(self, number: int) -> float:
         """Return the approximate time until the other stages are done, in milliseconds."""
         open_ = (
             n
             for n in range(len(self.route.stages))
-            if n != number and n not in self.handles and self.times.has(n)
+            if n != number and n not in self.handles and self.times.has_pieces(n)
+        )
+        return max(
+            (self.times.stage_ms(n) + self.times.following_ms(n) for n in open_), default=0.0
         )
-        return max((self.times.stage_ms(n) + self.times.ms_after(n) for n in open_), default=0.0)
 
-    def ended(self, number: int, results: Results) -> None:
+    def complete(self, number: int, results: Results) -> None:
         """Record the results of a stage, or its failure."""
         self.waiting.pop(number, None)
         failures = [one.failure for one in results if one.failure is not None]
@@ -252,7 +254,7 @@
             self.dispatch.release(self.service(number), [one.handle for one in results])
         else:
             self.handles[number] = tuple(one.handle for one in results)
-            self.places[number] = tuple(one.datacentre for one in results)
+            self.locations[number] = tuple(one.datacentre for one in results)
             self.release_used()
         self.changed.set()
 
@@ -286,8 +288,8 @@
             self.dispatch.withdraw(submission)
         for number, stage in enumerate(self.route.stages):
             begun = number in self.handles or number in self.waiting
-            if stage.after and self.times.has(number) and not begun:
-                self.notice(number, 0)
+            if stage.after and self.times.has_pieces(number) and not begun:
+                self.announce_stage(number, 0)
         self.waiting.clear()
         self.release()
 
--- a/packages/core/src/mountladder/forwarding/stageforecast.py
+++ b/packages/core/src/mountladder/forwarding/stageforecast.py
@@ -12,37 +12,37 @@
 
 from mountladder.code import Code
 from mountladder.errors import RefusalError
-from mountladder.forwarding.backlog import by_rank
+from mountladder.forwarding.backlog import value_for_rank
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
 from mountladder.forwarding.expectation import Expectation
 from mountladder.forwarding.finishtime import finish_ms
 from mountladder.forwarding.forwardrequest import ForwardRequest
 from mountladder.forwarding.route import Route
 from mountladder.forwarding.stagedispatch import StageDispatch
-from mountladder.forwarding.stageflow import GIVE_UP_AIMS
+from mountladder.forwarding.stageflow import GIVE_UP_TARGETS
 
 # A request counts as on time while a usual request of its route is expected to take at most this
 # multiple of the latency target, by rank; the least valuable requests give way first.
-LET_IN_AIMS = (1.0, 1.0, 0.95)
+ON_TIME_TARGETS = (1.0, 1.0, 0.95)
 # A wait up to this is normal with an empty queue, until the next server is free: less than half of
 # a call of a stage service. No other request would gain if a request with such a wait gave way.
-LEAST_WAIT_MS = 100.0
+NORMAL_WAIT_MS = 100.0
 # Weight of a new sample in the moving average of a route's usual time: about twenty requests.
 USUAL_WEIGHT = 0.05
 # Ratio of actual to expected time: the initial value, and the step by which each request moves its
 # route's ratio up or down, so that it tracks the median.
-FIRST_FACTOR = 1.25
+INITIAL_FACTOR = 1.25
 FACTOR_STEP = 0.01
-LEAST_FACTOR, MOST_FACTOR = 0.8, 2.0
+MIN_FACTOR, MAX_FACTOR = 0.8, 2.0
 # A request that arrives with less than this fraction of its route's full deadline is a retry.
-FIRST_ATTEMPT = 0.97
+FIRST_ATTEMPT_FRACTION = 0.97
 # When a refused request may be retried: after a multiple of the time by which it would exceed its
 # latency target, within these limits and this fraction of the caller's remaining time; callers wait
 # at most a third of it.
-BACK_EXCESS = 2.0
-LEAST_BACK_MS = 800.0
-MOST_BACK_MS = 2_600.0
-BACK_PART = 0.3
+RETRY_EXCESS_FACTOR = 2.0
+MIN_RETRY_AFTER_MS = 800.0
+MAX_RETRY_AFTER_MS = 2_600.0
+RETRY_AFTER_FRACTION = 0.3
 
 
 class StageForecast:
@@ -53,7 +53,7 @@
         follower: The catalogue in force.
 
     Attributes:
-        longest: The longest time that a request of each route was allowed, in milliseconds.
+        max_allowed_ms: The longest time that a request of each route was allowed, in milliseconds.
         factors: The ratio of actual to expected time of each route.
         usual_ms: The usual time of a request of each route without waits, in milliseconds.
     """
@@ -61,34 +61,34 @@
     def __init__(self, dispatch: StageDispatch, follower: CatalogueFollower) -> None:
         self.dispatch = dispatch
         self.follower = follower
-        self.longest: dict[str, float] = {}
+        self.max_allowed_ms: dict[str, float] = {}
         self.factors: dict[str, float] = {}
         self.usual_ms: dict[str, float] = {}
 
     def age_ms(self, request: ForwardRequest, route: Route) -> float:
         """Return the time since the caller's first attempt in milliseconds, 0 if this is it."""
-        longest = max(self.longest.get(route.name, 0.0), request.allowed_ms)
-        self.longest[route.name] = longest
-        back = request.allowed_ms < FIRST_ATTEMPT * longest
-        return longest - request.allowed_ms if back else 0.0
+        max_allowed_ms = max(self.max_allowed_ms.get(route.name, 0.0), request.allowed_ms)
+        self.max_allowed_ms[route.name] = max_allowed_ms
+        is_retry = request.allowed_ms < FIRST_ATTEMPT_FRACTION * max_allowed_ms
+        return max_allowed_ms - request.allowed_ms if is_retry else 0.0
 
     def admit(
         self, request: ForwardRequest, route: Route, urgency: int, age_ms: float
     ) -> Expectation:
-        """Admit a request and return its expected time; see foresee and check."""
-        expectation = self.foresee(request, route, urgency, age_ms)
-        told = expectation.fields() | {"request": request.id, "route": route.name}
+        """Admit a request and return its expected time; see predict and check."""
+        expectation = self.predict(request, route, urgency, age_ms)
+        fields = expectation.log_fields() | {"request": request.id, "route": route.name}
         try:
             self.check(expectation, request, route)
         except RefusalError as error:
             log_message(
-                "request-refused", retry_after_ms=round(error.retry_after_ms or 0.0), **told
+                "request-refused", retry_after_ms=round(error.retry_after_ms or 0.0), **fields
             )
             raise
-        log_message("let-in", comes_back=age_ms > 0.0, **told)
+        log_message("let-in", comes_back=age_ms > 0.0, **fields)
         return expectation
 
-    def foresee(
+    def predict(
         self, request: ForwardRequest, route: Route, urgency: int, age_ms: float
     ) -> Expectation:
         """Return the expected time of a request, and whether it gives way to others.
@@ -103,9 +103,11 @@
             age_ms: The time since its caller's first attempt, in milliseconds.
         """
         expectation = self.expect(request, route, urgency)
-        self.learn_usual(route, expectation.own_ms)
-        in_time = expectation.route_ms + age_ms <= by_rank(LET_IN_AIMS, urgency) * route.aim_ms
-        nothing_waits = expectation.waiting_ms <= LEAST_WAIT_MS
+        self.learn_usual(route, expectation.processing_ms)
+        in_time = (
+            expectation.route_ms + age_ms <= value_for_rank(ON_TIME_TARGETS, urgency) * route.aim_ms
+        )
+        nothing_waits = expectation.waiting_ms <= NORMAL_WAIT_MS
         if in_time or (nothing_waits and age_ms <= 0.0):
             return expectation
         return self.expect(request, route, urgency, gives_way=True)
@@ -125,17 +127,17 @@
         in_time = expectation.ms <= min(request.allowed_ms, route.timeout_ms)
         if expectation.gives_way:
             # Its stages would be given up before.
-            in_time = in_time and expectation.route_ms <= GIVE_UP_AIMS * route.aim_ms
+            in_time = in_time and expectation.route_ms <= GIVE_UP_TARGETS * route.aim_ms
         if in_time:
             return
-        back_ms = self.back_ms(request, route, expectation.ms)
+        retry_after_ms = self.retry_after_ms(request, route, expectation.ms)
         detail = f"expected {expectation.ms:.0f} ms, latency target {route.aim_ms:.0f} ms"
-        raise RefusalError(detail, Code.DEADLINE_UNMEETABLE, retry_after_ms=back_ms)
+        raise RefusalError(detail, Code.DEADLINE_UNMEETABLE, retry_after_ms=retry_after_ms)
 
-    def back_ms(self, request: ForwardRequest, route: Route, expected_ms: float) -> float:
+    def retry_after_ms(self, request: ForwardRequest, route: Route, expected_ms: float) -> float:
         """Return the time after which a refused request may be retried, in milliseconds."""
-        back_ms = max(LEAST_BACK_MS, BACK_EXCESS * (expected_ms - route.aim_ms))
-        return min(back_ms, MOST_BACK_MS, BACK_PART * request.allowed_ms)
+        retry_after_ms = max(MIN_RETRY_AFTER_MS, RETRY_EXCESS_FACTOR * (expected_ms - route.aim_ms))
+        return min(retry_after_ms, MAX_RETRY_AFTER_MS, RETRY_AFTER_FRACTION * request.allowed_ms)
 
     def expect(
         self, request: ForwardRequest, route: Route, urgency: int, gives_way: bool = False
@@ -152,23 +154,23 @@
         reading_ms = finish_ms(request.prompt)
         waits = [self.dispatch.wait_ms(one.service, urgency, gives_way) for one in route.stages]
         alone = (self.stage_ms(request, route, n) for n in stages)
-        behind = (self.stage_ms(request, route, n, waits) for n in stages)
+        queued = (self.stage_ms(request, route, n, waits) for n in stages)
         alone_ms = max(alone, default=0.0)
-        waiting_ms = max(behind, default=0.0) - alone_ms
+        waiting_ms = max(queued, default=0.0) - alone_ms
         usual_ms = self.usual_ms.get(route.name, alone_ms + reading_ms)
-        factor = self.factors.get(route.name, FIRST_FACTOR)
+        factor = self.factors.get(route.name, INITIAL_FACTOR)
         return Expectation(alone_ms, reading_ms, waiting_ms, usual_ms, factor, gives_way)
 
-    def learn_usual(self, route: Route, own_ms: float) -> None:
+    def learn_usual(self, route: Route, processing_ms: float) -> None:
         """Update the usual time of a route with a request's time without waits."""
-        usual_ms = self.usual_ms.get(route.name, own_ms)
-        self.usual_ms[route.name] = usual_ms + USUAL_WEIGHT * (own_ms - usual_ms)
+        usual_ms = self.usual_ms.get(route.name, processing_ms)
+        self.usual_ms[route.name] = usual_ms + USUAL_WEIGHT * (processing_ms - usual_ms)
 
     def learn(self, route: Route, expected_ms: float, elapsed_ms: float) -> None:
         """Update a route's ratio with an admitted request's actual time to its first event."""
-        factor = self.factors.get(route.name, FIRST_FACTOR)
+        factor = self.factors.get(route.name, INITIAL_FACTOR)
         factor += FACTOR_STEP if elapsed_ms > expected_ms else -FACTOR_STEP
-        self.factors[route.name] = min(MOST_FACTOR, max(LEAST_FACTOR, factor))
+        self.factors[route.name] = min(MAX_FACTOR, max(MIN_FACTOR, factor))
 
     def stage_ms(
         self, request: ForwardRequest, route: Route, number: int, waits: Sequence[float] = ()
--- a/packages/core/src/mountladder/forwarding/stagejob.py
+++ b/packages/core/src/mountladder/forwarding/stagejob.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass, replace
 
-from mountladder.forwarding.backlog import place
+from mountladder.forwarding.backlog import priority_class
 from mountladder.forwarding.piece import Piece
 
 
@@ -57,9 +57,9 @@
         """Return whether it can't be on time, so that it is queued behind all that can."""
         return self.due < now
 
-    def place(self, now: float) -> int:
-        """Return the priority class of its pieces, one of PLACES."""
-        return place(self.urgency, self.gives_way(now))
+    def priority_class(self, now: float) -> int:
+        """Return the priority class of its pieces, one of PRIORITY_CLASSES."""
+        return priority_class(self.urgency, self.gives_way(now))
 
     def shifted(self, by_ms: float) -> StageJob:
         """Return a copy with its times shifted, such as relative times to send to a peer."""
--- a/packages/core/src/mountladder/forwarding/stageservers.py
+++ b/packages/core/src/mountladder/forwarding/stageservers.py
@@ -18,10 +18,10 @@
 from mountladder.serverlimits.serverlimits import ServerLimits
 
 # A server slower than usual by more than this factor is skipped if busy servers would be sooner.
-MUCH_SLOWER = 1.8
+SLOW_FACTOR = 1.8
 # An overdue call means a lost answer, a slow server or a dead one. To find out which, the server is
 # probed with one more call of the maximum number of pieces divided by this.
-PROBE_PART = 4
+PROBE_DIVISOR = 4
 
 
 class StageServers:
@@ -32,7 +32,7 @@
         division: Selects the servers that pieces coordinated here are sent to.
         router: Holds the state of each server.
         cold: Limits the pieces sent to servers that have just started.
-        named_limits: Enforces the rate limits that servers announce.
+        rate_limits: Enforces the rate limits that servers announce.
 
     Attributes:
         calls: The running calls, by the server's name.
@@ -48,13 +48,13 @@
         division: Division,
         router: Router,
         cold: ColdServers,
-        named_limits: ServerLimits,
+        rate_limits: ServerLimits,
     ) -> None:
         self.service = service
         self.division = division
         self.router = router
         self.cold = cold
-        self.named_limits = named_limits
+        self.rate_limits = rate_limits
         self.calls: dict[str, list[StageCallState]] = {}
         self.paused: dict[str, float] = {}
         self.overdue: dict[str, list[StageCallState]] = {}
@@ -64,10 +64,10 @@
     def begin(self, state: ServerState, call: StageCallState) -> None:
         """Record that a call was sent."""
         self.cold.sent(state.server, call.pieces)
-        if self.named_limits.limited((state.server,)):
+        if self.rate_limits.limited((state.server,)):
             self.limited_call_at = call.started
         # Rate limits count a call as one request, whatever its number of pieces.
-        self.named_limits.sent(state.server, self.service)
+        self.rate_limits.sent(state.server, self.service)
         self.calls.setdefault(state.server.name, []).append(call)
         state.begin(call.started)
 
@@ -91,32 +91,34 @@
         """Return whether a server has answered another call since this one was sent."""
         return self.answered_at.get(state.server.name, float("-inf")) > call.started
 
-    def doubtful(self, state: ServerState) -> list[StageCallState]:
+    def uncertain_calls(self, state: ServerState) -> list[StageCallState]:
         """Return the overdue calls of a server that has not answered since they were sent."""
         overdue = self.overdue.get(state.server.name, ())
         return [call for call in overdue if not self.has_answered_since(state, call)]
 
-    def most_pieces(self, state: ServerState, limits: BatchLimits) -> int:
+    def max_pieces(self, state: ServerState, limits: BatchLimits) -> int:
         """Return the maximum pieces in a call, fewer for cold servers and those being probed."""
-        most = max(1, limits.pieces // PROBE_PART) if self.doubtful(state) else limits.pieces
-        return min(most, self.cold.allowance(state.server, self.service))
+        limit = (
+            max(1, limits.pieces // PROBE_DIVISOR) if self.uncertain_calls(state) else limits.pieces
+        )
+        return min(limit, self.cold.allowance(state.server, self.service))
 
-    def spared_addresses(self) -> frozenset[str]:
+    def restricted_addresses(self) -> frozenset[str]:
         """Return the addresses of the servers that limit their rate or asked for back-off."""
         servers = self.division.directory.available(self.service)
-        limited = self.named_limits.limited(servers)
-        spared = [one for one in servers if one.name in limited] if limited else []
-        return frozenset(one.address for one in (*spared, *self.router.resting(servers)))
+        limited = self.rate_limits.limited(servers)
+        restricted = [one for one in servers if one.name in limited] if limited else []
+        return frozenset(one.address for one in (*restricted, *self.router.resting(servers)))
 
-    def rest_ms(self) -> float:
+    def backoff_ms(self) -> float:
         """Return the remaining back-off of all servers in milliseconds, 0 if one has none."""
         return self.router.rest_ms(self.division.servers(self.service))
 
-    def take_request(self, state: ServerState) -> bool:
+    def try_acquire(self, state: ServerState) -> bool:
         """Use up one request of a server's rate limit; return False if none is available now."""
-        if self.named_limits.wait_ms(state.server, self.service) > 0:
+        if self.rate_limits.wait_ms(state.server, self.service) > 0:
             return False
-        self.named_limits.sent(state.server, self.service)
+        self.rate_limits.sent(state.server, self.service)
         return True
 
     def pause(self, state: ServerState, until: float) -> None:
@@ -137,7 +139,7 @@
         usable = self.usable(now)
         free = [one for one in usable if self.is_free(one, limits, now)]
         servers = [one.server for one in free]
-        cold, limited = self.cold.cold(servers), self.named_limits.limited(servers)
+        cold, limited = self.cold.cold(servers), self.rate_limits.limited(servers)
         return sorted(
             free,
             key=lambda one: (
@@ -147,11 +149,13 @@
             ),
         )
 
-    def left(self, state: ServerState, now: float) -> float:
+    def remaining_ms(self, state: ServerState, now: float) -> float:
         """Return the expected time until a server's calls complete, in milliseconds."""
-        return max((call.left(now) for call in self.calls.get(state.server.name, ())), default=0.0)
+        return max(
+            (call.remaining_ms(now) for call in self.calls.get(state.server.name, ())), default=0.0
+        )
 
-    def waits_for_more(
+    def should_wait_for_more(
         self, usable: Sequence[ServerState], pieces: int, limits: BatchLimits, now: float
     ) -> bool:
         """Return whether a call should wait for more pieces because all servers limit their rate.
@@ -166,19 +170,19 @@
             limits: The batch limits of a server.
             now: The clock's time.
         """
-        if pieces >= limits.pieces or not self.named_limits.limited(one.server for one in usable):
+        if pieces >= limits.pieces or not self.rate_limits.limited(one.server for one in usable):
             return False
-        turns = sum(self.named_limits.wait_ms(one.server, self.service) <= 0 for one in usable)
-        if 2 * turns > len(usable):
+        accepting = sum(self.rate_limits.wait_ms(one.server, self.service) <= 0 for one in usable)
+        if 2 * accepting > len(usable):
             return False
-        per_s = sum(self.named_limits.per_s(one.server, self.service) for one in usable)
+        per_s = sum(self.rate_limits.per_s(one.server, self.service) for one in usable)
         return now - self.limited_call_at < MS_PER_SECOND / per_s
 
     def pieces_per_ms(self, state: ServerState, limits: BatchLimits, now: float) -> float:
         """Return a server's throughput with full calls, in pieces per millisecond."""
         per_ms = 1.0 / (limits.expected_ms(limits.pieces) * state.slowness_at(now))
-        named = self.named_limits.per_s(state.server, self.service) / MS_PER_SECOND
-        return limits.pieces * min(per_ms, named)
+        limited = self.rate_limits.per_s(state.server, self.service) / MS_PER_SECOND
+        return limits.pieces * min(per_ms, limited)
 
     def is_better_to_wait(
         self,
@@ -189,25 +193,28 @@
         now: float,
     ) -> bool:
         """Return whether busy servers would complete the waiting pieces sooner than a slow one."""
-        if slow.slowness_at(now) <= MUCH_SLOWER:
+        if slow.slowness_at(now) <= SLOW_FACTOR:
             return False
         pieces = min(waiting, limits.pieces)
         alone_ms = limits.expected_ms(pieces) * slow.slowness_at(now)
-        room = 0
+        capacity = 0
         for state in usable:
-            if state is slow or state.slowness_at(now) > MUCH_SLOWER:
+            if state is slow or state.slowness_at(now) > SLOW_FACTOR:
                 continue
-            left = self.left(state, now)
-            if left + limits.expected_ms(pieces) * state.slowness_at(now) < alone_ms:
-                room += limits.pieces
-        return waiting <= room
+            remaining_ms = self.remaining_ms(state, now)
+            if remaining_ms + limits.expected_ms(pieces) * state.slowness_at(now) < alone_ms:
+                capacity += limits.pieces
+        return waiting <= capacity
 
     def is_free(self, state: ServerState, limits: BatchLimits, now: float) -> bool:
         """Return whether a server may be sent a call now."""
         paused = self.paused.get(state.server.name, 0.0) > now
-        if self.named_limits.wait_ms(state.server, self.service) > 0:
+        if self.rate_limits.wait_ms(state.server, self.service) > 0:
             return False
-        return not paused and self.running(state) + len(self.doubtful(state)) // 2 < limits.calls
+        return (
+            not paused
+            and self.running(state) + len(self.uncertain_calls(state)) // 2 < limits.calls
+        )
 
     def running(self, state: ServerState) -> int:
         """Return the number of calls running at a server, without the overdue ones."""
--- a/packages/core/src/mountladder/forwarding/stagetimes.py
+++ b/packages/core/src/mountladder/forwarding/stagetimes.py
@@ -12,7 +12,7 @@
 
 # Expected wait of a stage for a free server, as a fraction of a call's fixed time: calls end at
 # random times, so that a server is free after about half of one.
-WAIT_CALLS = 0.5
+WAIT_FRACTION = 0.5
 # Expected time of a stage whose service the catalogue lacks.
 UNKNOWN_STAGE_MS = 300.0
 
@@ -31,21 +31,21 @@
         self.route = route
         self.dispatch = dispatch
 
-    def has(self, number: int) -> bool:
+    def has_pieces(self, number: int) -> bool:
         """Return whether the request has pieces in a stage."""
         return number < len(self.request.pieces) and self.request.pieces[number] > 0
 
-    def ms_after(self, number: int) -> float:
+    def following_ms(self, number: int) -> float:
         """Return the approximate time of the longest chain of stages after one, in milliseconds."""
         following = [n for n, stage in enumerate(self.route.stages) if number in stage.after]
-        return max((self.stage_ms(n) + self.ms_after(n) for n in following), default=0.0)
+        return max((self.stage_ms(n) + self.following_ms(n) for n in following), default=0.0)
 
     def stage_ms(self, number: int) -> float:
         """Return the approximate time of a stage and its wait for a server, in milliseconds."""
-        if not self.has(number):
+        if not self.has_pieces(number):
             return 0.0
         limits = self.dispatch.limits(self.route.stages[number].service)
         if limits is None:
             return UNKNOWN_STAGE_MS
         pieces = min(self.request.pieces[number], limits.pieces)
-        return WAIT_CALLS * limits.call_ms + limits.expected_ms(pieces)
+        return WAIT_FRACTION * limits.call_ms + limits.expected_ms(pieces)
--- a/packages/core/src/mountladder/forwarding/streamrun.py
+++ b/packages/core/src/mountladder/forwarding/streamrun.py
@@ -100,7 +100,7 @@
                 raise
             else:
                 self.succeeded(attempt, answer.load, goes_on=True)
-                self.context.fetch_time.fetched()
+                self.context.fetch_time.record_fetched()
                 return attempt, answer, first
 
     def release_soon(self) -> None:
@@ -113,7 +113,7 @@
     def learn_gone(self) -> None:
         """Learn from results that a server could not fetch; they are made again."""
         if self.flow is not None and not self.flow.handles:
-            self.context.fetch_time.too_early()
+            self.context.fetch_time.record_early_release()
         elif self.flow is not None:
             self.flow.release()
 
--- a/packages/core/src/mountladder/forwarding/submission.py
+++ b/packages/core/src/mountladder/forwarding/submission.py
@@ -19,9 +19,9 @@
         done: Called with their results.
 
     Attributes:
-        home: The address of the instance that runs it, or an empty string for this one.
+        assignee: The address of the instance that runs it, or an empty string for this one.
         lent: Whether that instance is the coordinator of another data centre.
-        moved: Whether it was reassigned from another instance, which may have begun it.
+        reassigned: Whether it was reassigned from another instance, which may have begun it.
         progress: Its progress if it runs here, or None.
     """
 
@@ -29,7 +29,7 @@
         self.number = number
         self.job = job
         self.done = done
-        self.home = ""
+        self.assignee = ""
         self.lent = False
-        self.moved = False
+        self.reassigned = False
         self.progress: JobProgress | None = None
--- a/packages/core/src/mountladder/membership/wirewriter.py
+++ b/packages/core/src/mountladder/membership/wirewriter.py
@@ -286,4 +286,4 @@
 def _fill_backlogs(backlogs, frames) -> None:
     for backlog, to in zip(backlogs, frames, strict=True):
         to.service = backlog.service
-        to.waits, to.own = list(backlog.waits_ms), list(backlog.own_ms)
+        to.waits, to.own = list(backlog.waits_ms), list(backlog.local_waits_ms)
