--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -187,10 +187,7 @@
 
 @then("it is heard that the server {what}")
 def leaving_heard(context, what):
-    expected = {
-        "leaves": ([Leaving()], []),
-        "neither leaves nor wants rest": ([], []),
-    }
+    expected = {"leaves": ([Leaving()], []), "neither leaves nor wants rest": ([], [])}
     rest = [Rest(1000.0 * float(what.split()[-2]))] if what.startswith("wants rest for") else []
     heard = (heard_of(context, Leaving), heard_of(context, Rest))
     assert heard == expected.get(what, ([], rest)), context.heard
@@ -354,7 +351,7 @@
     assert [(one.after, one.result_bytes) for one in stream.stages] == [((), 5.0), ((0,), 6.0)]
     assert stream.repeatable and stream.public and stream.last_stages() == (1,)
     assert (safe.target_ms, safe.max_attempts, safe.priority) == (200.0, 2, 2)
-    assert found.services["t"].batch.kept_ms == 4_000.0
+    assert found.services["t"].batch.result_ttl_ms == 4_000.0
     assert found.services["s"].slots == 64
     assert found.keys["k2"].team == "team" and found.keys["k2"].priority == 1
     limits = found.limits
--- a/packages/core/src/mountladder/forwarding/backlog.py
+++ b/packages/core/src/mountladder/forwarding/backlog.py
@@ -1,50 +1,51 @@
-# backlog.py -- How long pieces wait at a stage service
+# backlog.py -- Expected waiting times of pieces at a stage service, by priority class
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How long pieces wait at a stage service."""
+"""Expected waiting times of pieces at a stage service, by priority class."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# Requests of this rank and all beyond it are treated alike: three ranks of routes in two of teams.
-LAST_RANK = 5
-# Places of pieces: those that can be on time by their rank, and behind all of them those that give
-# way, by their rank up to the last of one team's routes.
-GIVES_WAY = LAST_RANK + 1
-LAST_GIVING_WAY = 2
-PLACES = range(GIVES_WAY + LAST_GIVING_WAY + 1)
+# Higher ranks count as this one: three ranks of routes within each of two ranks of teams.
+MAX_RANK = 5
+# Priority classes of queued pieces: first those that can be on time, by rank; behind all of them
+# those that give way because they can't, by rank up to the last one of a single team's routes.
+FIRST_CLASS_GIVING_WAY = MAX_RANK + 1
+LAST_RANK_GIVING_WAY = 2
+PRIORITY_CLASSES = range(FIRST_CLASS_GIVING_WAY + LAST_RANK_GIVING_WAY + 1)
 
 
 def rank(urgency: int) -> int:
-    """Return the rank that an urgency counts as, from 0 to LAST_RANK."""
-    return min(max(0, urgency), LAST_RANK)
+    """Return an urgency's rank, limited to 0 to MAX_RANK."""
+    return min(max(0, urgency), MAX_RANK)
 
 
-def place(urgency: int, gives_way: bool) -> int:
-    """Return the place of pieces in a queue, one of PLACES."""
+def priority_class(urgency: int, gives_way: bool) -> int:
+    """Return the priority class of pieces in a queue, one of PRIORITY_CLASSES."""
     if gives_way:
-        return GIVES_WAY + min(rank(urgency), LAST_GIVING_WAY)
+        return FIRST_CLASS_GIVING_WAY + min(rank(urgency), LAST_RANK_GIVING_WAY)
     return rank(urgency)
 
 
-def by_rank(figures: Sequence[float], urgency: int) -> float:
-    """Return the figure of an urgency's rank; the last one stands for all ranks beyond it."""
-    return figures[min(rank(urgency), len(figures) - 1)]
+def value_for_rank(values: Sequence[float], urgency: int) -> float:
+    """Return the value for an urgency's rank; the last value holds for all ranks beyond it."""
+    return values[min(rank(urgency), len(values) - 1)]
 
 
 @dataclass(frozen=True, slots=True)
 class Backlog:
-    """How long pieces wait at a stage service.
+    """Expected waits of new pieces at a stage service.
 
     Attributes:
         service: The service.
-        waits_ms: How long new pieces are expected to wait, by their place, one for each of PLACES.
-        own_ms: The same if all stay in their data centre, where the service is divided; else empty.
+        waits_ms: The expected waits in milliseconds, by priority class.
+        local_waits_ms: For a divided service, the expected waits if no piece is sent to another
+            data centre; empty otherwise.
     """
 
     service: str
     waits_ms: tuple[float, ...]
-    own_ms: tuple[float, ...] = ()
+    local_waits_ms: tuple[float, ...] = ()
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -1,8 +1,8 @@
-# batcher.py -- Pieces of one service in batches
+# batcher.py -- Batches pieces of one stage service into calls to its servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Pieces of one service in batches."""
+"""Batches pieces of one stage service into calls to its servers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import gevent
 
 from mountladder.clocks.clock import Clock
-from mountladder.forwarding.backlog import PLACES, Backlog
+from mountladder.forwarding.backlog import PRIORITY_CLASSES, Backlog
 from mountladder.forwarding.batchlimits import BatchLimits
 from mountladder.forwarding.batchrun import BatchRun
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
@@ -19,10 +19,10 @@
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.division import Division
 from mountladder.forwarding.jobprogress import Done, JobProgress
-from mountladder.forwarding.piecequeue import PieceQueue, Waiting, apart
+from mountladder.forwarding.piecequeue import PieceQueue, QueuedPiece, isolate_suspects
 from mountladder.forwarding.piecerate import PieceRate
 from mountladder.forwarding.releaser import Releaser
-from mountladder.forwarding.resultroom import ResultRoom
+from mountladder.forwarding.resultmemory import ResultMemory
 from mountladder.forwarding.stagedemand import StageDemand
 from mountladder.forwarding.stagejob import StageJob
 from mountladder.forwarding.stageservers import StageServers
@@ -35,40 +35,42 @@
 from mountladder.routing.serverstate import ServerState
 from mountladder.serverlimits.serverlimits import ServerLimits
 
-# How soon the queue is looked at again where no event would do it.
-LOOK_AGAIN_MS = 40.0
-# For how long a backlog that was worked out is told: a tenth of a call.
-BACKLOG_MS = 20.0
-# What pieces are taken to wait where no server is in use.
-NO_SERVER_MS = 5_000.0
-# Pieces that wait longer than so many full calls wait for more than the next free server.
-CROWDED = 1.5
-# A server that limits what it takes is asked to give up results once so much of its room is taken.
-SHORT_ROOM = 0.5
-# The servers are taken to make at least this part of what full calls would make.
-LEAST_RATE = 0.3
+# Interval between polls of a queue with waiting pieces, where no event triggers an earlier one.
+POLL_MS = 40.0
+# How long a computed backlog is reported before it is computed again: a tenth of a call.
+BACKLOG_CACHE_MS = 20.0
+# The expected wait while no server is usable.
+NO_SERVER_WAIT_MS = 5_000.0
+# The service is congested once its oldest piece has waited longer than this many full calls; a
+# shorter wait is just for the next free server.
+CONGESTED_CALLS = 1.5
+# Results that are held back at a rate-limited server are released once this fraction of its result
+# memory is in use.
+LOW_MEMORY_FRACTION = 0.5
+# Lower bound of the measured throughput, as a fraction of the throughput with full calls.
+MIN_RATE_FRACTION = 0.3
 
 
 class Batcher:
-    """Sends the pieces of one service to its servers, as many in a call as are waiting.
+    """Sends the pieces of one service to its servers, in batches of all that wait.
 
-    A call costs much before its first piece, so that pieces of many requests share calls. While
-    every server is busy pieces wait; the server that is free first takes those due first. Pieces
-    that cannot be on time any more go behind all others, by urgency.
+    A call has a high fixed cost, so the pieces of many requests share calls. While all servers are
+    busy, pieces wait; the first free server gets those that are due first. Pieces that can't be on
+    time any more are queued behind all others, by urgency.
 
     Args:
         service: The name of the service.
-        catalogue: What a server of the service takes at once.
-        division: Which servers the pieces are made at.
-        router: What is known of each server.
+        catalogue: Source of the service's batch limits.
+        division: Selects the servers that pieces are sent to.
+        router: Holds the state of each server.
         upstream: Calls the servers.
-        quarantine: Knows under whose pieces servers end.
-        budget: Limits how often pieces are sent again.
+        quarantine: Tracks requests whose pieces crash servers.
+        budget: Retry budget of the service.
         clock: The clock.
-        metrics: Where calls are counted.
-        cold: Limits what servers get that have just started.
-        limits: Keeps to what servers say that they take.
-        notices: Takes in what answers say of their servers.
+        metrics: Counts and times calls.
+        cold: Limits the pieces sent to servers that have just started.
+        limits: Enforces the rate limits that servers announce.
+        notices: Receives the notices that answers carry about their servers.
     """
 
     def __init__(
@@ -98,43 +100,43 @@
         self.queue = PieceQueue()
         self.demand = StageDemand(clock)
         self.servers = StageServers(service, division, router, cold, limits)
-        self.room = ResultRoom()
+        self.result_memory = ResultMemory()
         self.rate = PieceRate(clock)
-        self.twice: set[Waiting] = set()
-        self.told: tuple[float, Backlog] | None = None
+        self.hedged: set[QueuedPiece] = set()
+        self.cached_backlog: tuple[float, Backlog] | None = None
         self.releaser = self.make_releaser(division.directory)
-        self.cancel_look: Callable[[], None] | None = None
+        self.cancel_poll: Callable[[], None] | None = None
 
     def make_releaser(self, directory: Directory) -> Releaser:
-        """Return what gives up results."""
+        """Return the releaser of this batcher's results."""
         return Releaser(
             self.upstream,
             directory,
             self.clock,
-            self.freed,
+            self.on_released,
             self.notices.hear,
-            self.servers.spared_addresses,
-            lambda handle: handle in self.room.results,
+            self.servers.restricted_addresses,
+            lambda handle: handle in self.result_memory.results,
         )
 
     def submit(self, job: StageJob, done: Done) -> JobProgress:
-        """Take in the pieces of a stage; done is called with their results."""
+        """Queue the pieces of a stage; done is called with their results."""
         progress = JobProgress(job, done, self.clock.now())
         for _ in range(job.pieces):
             self.budget.earn()
-        self.demand.came(job)
+        self.demand.record_arrival(job)
         self.queue.add(progress)
         self.pump()
         return progress
 
     def withdraw(self, progress: JobProgress) -> None:
-        """Drop pieces that wait and are not wanted any more, and the results of the others."""
+        """Cancel a stage: drop its waiting pieces and release the results that it has."""
         progress.ended = True
         self.queue.withdraw(progress)
         self.release([one.handle for one in progress.results.values()])
 
     def limits(self) -> BatchLimits | None:
-        """Return what a server takes at once, where the catalogue still has the service."""
+        """Return the batch limits of a server, or None if the catalogue lacks the service."""
         service = self.catalogue.service(self.service)
         return service.batch if service else None
 
@@ -142,64 +144,67 @@
         """Send batches while pieces wait and servers are free."""
         limits = self.limits()
         now = self.clock.now()
-        self.queue.drop_late(now)
-        self.queue.drop_barred(self.quarantine)
-        self.room.drop_old(now)
+        self.queue.drop_expired(now)
+        self.queue.drop_quarantined(self.quarantine)
+        self.result_memory.drop_expired(now)
         if self.releaser.held and limits is not None:
-            self.free_held(limits, now)
+            self.release_held(limits, now)
         if self.queue and limits is not None:
             self.queue.sort(now)
             for state in self.servers.free(limits, now):
                 self.offer(state, limits, now)
-        self.rate.watch(limits is not None and self.is_crowded(limits, now))
+        self.rate.set_congested(limits is not None and self.is_congested(limits, now))
         if self.queue:
-            self.look_again()
+            self.schedule_poll()
 
-    def is_crowded(self, limits: BatchLimits, now: float) -> bool:
-        """Tell whether pieces wait for longer than for the next free server."""
-        return now - self.queue.oldest(now) > CROWDED * limits.expected_ms(limits.pieces)
+    def is_congested(self, limits: BatchLimits, now: float) -> bool:
+        """Return whether pieces wait longer than until the next server is free."""
+        return now - self.queue.oldest(now) > CONGESTED_CALLS * limits.expected_ms(limits.pieces)
 
     def release(self, handles: Sequence[str]) -> None:
-        """Give up results that are no longer needed."""
+        """Release results that are no longer needed."""
         self.releaser.release(handles)
 
-    def freed(self, handles: Sequence[str]) -> None:
-        """Take in that servers have dropped results."""
+    def on_released(self, handles: Sequence[str]) -> None:
+        """Free the memory accounted for results that servers have dropped."""
         for handle in handles:
-            self.room.release(handle)
+            self.result_memory.release(handle)
         if self.queue:
             self.pump()
 
-    def free_held(self, limits: BatchLimits, now: float) -> None:
-        """Give up results that are held back at servers, where their room gets short."""
+    def release_held(self, limits: BatchLimits, now: float) -> None:
+        """Release held-back results at servers whose result memory runs short."""
         for state in self.servers.usable(now):
             address, name = state.server.address, state.server.name
             held = self.releaser.held.get(address)
-            is_short = self.room.taken(name, now) >= SHORT_ROOM * limits.room_bytes
-            if held and is_short and self.servers.take_request(state):
-                self.releaser.free_held(address)
-
-    def look_again(self) -> None:
-        """Look at the queue a little later, unless that is arranged already."""
-        if self.cancel_look is None:
-            self.cancel_look = self.clock.call_later(LOOK_AGAIN_MS, self.looked)
-
-    def looked(self) -> None:
-        """Look at the queue again."""
-        self.cancel_look = None
+            is_low = (
+                self.result_memory.used_bytes(name, now)
+                >= LOW_MEMORY_FRACTION * limits.result_memory_bytes
+            )
+            if held and is_low and self.servers.try_acquire(state):
+                self.releaser.release_held(address)
+
+    def schedule_poll(self) -> None:
+        """Schedule a poll of the queue, unless one is scheduled already."""
+        if self.cancel_poll is None:
+            self.cancel_poll = self.clock.call_later(POLL_MS, self.poll)
+
+    def poll(self) -> None:
+        """Poll the queue."""
+        self.cancel_poll = None
         self.pump()
 
     def offer(self, state: ServerState, limits: BatchLimits, now: float) -> None:
-        """Send a server the pieces that are its to take, where that is best for them."""
+        """Send a batch to a free server, unless it is better that the pieces wait."""
         usable = self.servers.usable(now)
-        manned = {one.server.datacentre for one in usable}
-        used = self.room.taken(state.server.name, now)
-        most = self.servers.most_pieces(state, limits)
-        chosen = self.queue.choose(state, used, manned, limits, now)[:most]
-        batch = apart(chosen, self.quarantine)
+        served_datacentres = {one.server.datacentre for one in usable}
+        used_bytes = self.result_memory.used_bytes(state.server.name, now)
+        max_pieces = self.servers.max_pieces(state, limits)
+        chosen = self.queue.choose(state, used_bytes, served_datacentres, limits, now)[:max_pieces]
+        batch = isolate_suspects(chosen, self.quarantine)
         if not batch:
             return
-        if self.servers.waits_for_more(usable, len(batch), limits, now):
+        if self.servers.should_wait_for_more(usable, len(batch), limits, now):
             return
         if self.servers.is_better_to_wait(state, usable, len(self.queue), limits, now):
             return
@@ -207,39 +212,41 @@
         self.start(state, batch, limits, now)
 
     def backlog(self) -> Backlog:
-        """Return how long new pieces are expected to wait, by their place.
+        """Return the expected waits of new pieces, up to BACKLOG_CACHE_MS old.
 
-        Every heartbeat of every instance that leaves pieces here asks, hundreds of times a second
-        in a large fleet, so that the figure may be some milliseconds old.
+        It is read for each heartbeat of each instance that sends pieces here, hundreds of times a
+        second in a large fleet, so it is cached.
         """
         now = self.clock.now()
-        if self.told is None or now - self.told[0] >= BACKLOG_MS:
-            self.told = (now, self.newest_backlog(now))
-        return self.told[1]
+        if self.cached_backlog is None or now - self.cached_backlog[0] >= BACKLOG_CACHE_MS:
+            self.cached_backlog = (now, self.compute_backlog(now))
+        return self.cached_backlog[1]
 
-    def newest_backlog(self, now: float) -> Backlog:
-        """Return how long new pieces are expected to wait, from what waits and what is asked."""
+    def compute_backlog(self, now: float) -> Backlog:
+        """Compute the expected waits of new pieces from the queue and the demand."""
         limits = self.limits()
         usable = self.servers.usable(now)
         if limits is None or not usable:
-            wait_ms = self.servers.rest_ms() or NO_SERVER_MS
-            return Backlog(self.service, (wait_ms,) * len(PLACES))
+            wait_ms = self.servers.backoff_ms() or NO_SERVER_WAIT_MS
+            return Backlog(self.service, (wait_ms,) * len(PRIORITY_CLASSES))
         rate = sum(self.servers.pieces_per_ms(one, limits, now) for one in usable)
         measured = self.rate.measured()
         if measured is not None:
-            rate = max(LEAST_RATE * rate, min(rate, measured))
-        busy_ms = min(self.servers.left(one, now) for one in usable)
-        return Backlog(self.service, self.demand.waits_ms(self.queue.by_place(now), rate, busy_ms))
+            rate = max(MIN_RATE_FRACTION * rate, min(rate, measured))
+        busy_ms = min(self.servers.remaining_ms(one, now) for one in usable)
+        return Backlog(
+            self.service, self.demand.waits_ms(self.queue.count_by_priority(now), rate, busy_ms)
+        )
 
     def start(
-        self, state: ServerState, batch: list[Waiting], limits: BatchLimits, now: float
+        self, state: ServerState, batch: list[QueuedPiece], limits: BatchLimits, now: float
     ) -> None:
-        """Send a batch to a server, in a task of its own."""
+        """Send a batch to a server in a greenlet of its own."""
         run = BatchRun(self, state, batch, limits, now)
         self.servers.begin(state, run.call)
         for progress, _ in batch:
             progress.begun = True
             if self.quarantine.needs_own_call(progress.job.fingerprint):
                 self.quarantine.record_sent(progress.job.fingerprint, progress.job.request)
-            self.room.reserve(state.server.name, progress.job.result_bytes)
+            self.result_memory.reserve(state.server.name, progress.job.result_bytes)
         gevent.spawn(run.run)
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -130,7 +130,7 @@
                 raise
             self.log("stages-rerun", reason=error.detail, elapsed_ms=round(self.elapsed_ms()))
             return self.run_stages()
-        self.site = self.flow.site()
+        self.site = self.flow.input_datacentre()
         self.log("stages-done", results=len(inputs))
         return inputs
 
@@ -160,7 +160,7 @@
         if not self.gives_way:
             forecast.learn(self.route, self.expected_ms, self.elapsed_ms())
         expectation = forecast.expect(self.request, self.route, self.urgency, self.gives_way)
-        retry_after_ms = forecast.back_ms(self.request, self.route, expectation.ms)
+        retry_after_ms = forecast.retry_after_ms(self.request, self.route, expectation.ms)
         return RefusalError(error.detail, error.code, retry_after_ms=retry_after_ms)
 
     def start_attempt(self) -> ForwardAttempt:
--- a/packages/core/src/mountladder/forwarding/releaser.py
+++ b/packages/core/src/mountladder/forwarding/releaser.py
@@ -1,8 +1,8 @@
-# releaser.py -- Giving up results of stages
+# releaser.py -- Releases stage results at their servers in batches
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Giving up results of stages."""
+"""Releases stage results at their servers in batches."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from mountladder.forwarding.upstream import Upstream
 from mountladder.notices.notice import Heard
 
-# Results are given up in batches: soon enough that a server's room for results does not fill.
+# Releases are batched over this time, short enough that a server's result memory does not fill up.
 RELEASE_MS = 25.0
 
 
 class Releaser:
-    """Tells servers which results of stages are no longer needed, many in one call.
+    """Releases stage results at their servers, many in one call.
 
     Args:
         upstream: Calls the servers.
-        directory: Knows which servers are to get nothing; what they keep is left to lapse there.
+        directory: Lists the servers, and those that get no calls; results there are left to expire.
         clock: The clock.
-        heard: Told what answers say of their servers; see ForwardCall.
-        freed: Called with the handles once the servers have dropped the results.
-        spared: Returns the addresses of servers that limit what they take, or want rest.
-        is_kept: Tells whether a result still takes up room.
+        on_notices: Receives the notices that answers carry about their servers; see ForwardCall.
+        on_released: Called with the handles once the servers have dropped the results.
+        restricted: Returns the addresses of servers that limit their rate or asked for back-off.
+        is_stored: Returns whether a result still takes up memory.
 
     Attributes:
-        held: Handles of results at those, by address: giving them up takes one of the few requests
-            that such a server gets, or breaks its rest, so that they wait until there is need, or
-            lapse.
+        held: Handles of results at those servers, by address. Releasing them would use up one of
+            the few requests that such a server accepts, or violate its back-off, so they are held
+            back until memory runs short or they expire.
     """
 
     def __init__(
@@ -42,73 +42,73 @@
         upstream: Upstream,
         directory: Directory,
         clock: Clock,
-        freed: Callable[[Sequence[str]], None],
-        heard: Heard,
-        spared: Callable[[], frozenset[str]],
-        is_kept: Callable[[str], bool],
+        on_released: Callable[[Sequence[str]], None],
+        on_notices: Heard,
+        restricted: Callable[[], frozenset[str]],
+        is_stored: Callable[[str], bool],
     ) -> None:
         self.upstream = upstream
         self.directory = directory
         self.clock = clock
-        self.freed = freed
-        self.heard = heard
-        self.spared = spared
-        self.is_kept = is_kept
+        self.on_released = on_released
+        self.on_notices = on_notices
+        self.restricted = restricted
+        self.is_stored = is_stored
         self.held: dict[str, list[str]] = {}
         self.handles: list[str] = []
         self.cancel: Callable[[], None] | None = None
 
     def release(self, handles: Sequence[str]) -> None:
-        """Give up results soon."""
+        """Release results with the next batch."""
         self.handles += [handle for handle in handles if handle]
         if self.handles and self.cancel is None:
             self.cancel = self.clock.call_later(RELEASE_MS, self.flush)
 
     def flush(self) -> None:
-        """Give up what has been gathered."""
+        """Start the release of the current batch."""
         self.cancel = None
         handles, self.handles = self.handles, []
         if handles:
             gevent.spawn(self.free, handles)
 
     def free(self, handles: Sequence[str]) -> None:
-        """Give up results, and tell when that is done."""
-        closed, spared = self.directory.closed, self.spared()
-        given_up = self.take_back(spared)
+        """Release results, except at restricted servers; call on_released afterwards."""
+        closed, restricted = self.directory.closed, self.restricted()
+        releasable = self.pop_releasable(restricted)
         for handle in handles:
             address = handle.partition("/")[0]
-            if address in spared:
+            if address in restricted:
                 self.held.setdefault(address, []).append(handle)
             elif address not in closed:
-                given_up.append(handle)
-        self.free_now(given_up)
+                releasable.append(handle)
+        self.release_now(releasable)
 
-    def take_back(self, spared: frozenset[str]) -> list[str]:
-        """Return what was held back at servers not spared now, and forget what has lapsed."""
-        given_up: list[str] = []
+    def pop_releasable(self, restricted: frozenset[str]) -> list[str]:
+        """Remove and return the results to release of those held back; drop expired ones."""
+        releasable: list[str] = []
         for address, handles in list(self.held.items()):
-            left = [one for one in handles if self.is_kept(one)]
-            if left and address in spared:
+            left = [one for one in handles if self.is_stored(one)]
+            if left and address in restricted:
                 self.held[address] = left
             else:
                 del self.held[address]
-                given_up += left
-        return given_up
+                releasable += left
+        return releasable
 
-    def free_held(self, address: str) -> None:
-        """Give up what was held back at a server, where it is still there; in one call."""
-        handles = [one for one in self.held.pop(address, ()) if self.is_kept(one)]
+    def release_held(self, address: str) -> None:
+        """Release the unexpired results held back at a server, in one call."""
+        handles = [one for one in self.held.pop(address, ()) if self.is_stored(one)]
         if handles:
-            gevent.spawn(self.free_now, handles)
+            gevent.spawn(self.release_now, handles)
 
-    def free_now(self, handles: Sequence[str]) -> None:
-        """Give up results whatever their servers take, and tell when that is done."""
+    def release_now(self, handles: Sequence[str]) -> None:
+        """Release results regardless of limits and back-off; call on_released afterwards."""
         by_address: dict[str, list[str]] = {}
         for handle in handles:
             by_address.setdefault(handle.partition("/")[0], []).append(handle)
-        for address, freed in by_address.items():
-            # Results do not outlive a server that is not listed any more.
+        for address, grouped in by_address.items():
+            # A server that is no longer listed is gone, and its results with it.
             server = self.directory.listed_at.get(address)
             if server is not None:
-                self.upstream.free(server, freed, self.heard)
-        self.freed(handles)
+                self.upstream.free(server, grouped, self.on_notices)
+        self.on_released(handles)
--- /dev/null
+++ b/packages/core/src/mountladder/forwarding/resultmemory.py
@@ -0,0 +1,93 @@
+# resultmemory.py -- Tracks the memory that results take up at the servers of a stage service
+# Copyright (C) 2026 The mountladder authors
+# SPDX-License-Identifier: Apache-2.0
+
+"""Tracks the memory that results take up at the servers of a stage service."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+
+class ResultMemory:
+    """Memory used by the results that one instance had made at the servers of a service.
+
+    A result counts from the start of its call until it is released, or until the server expires it
+    some time after the call.
+
+    Attributes:
+        used: The bytes in use at each server, by its name.
+        results: Each known result by its handle: the server's name, its size in bytes, and when it
+            expires.
+        foreign: The size in bytes of results at a server that seem to be another instance's, with
+            the times when that was detected and when all of them have expired.
+        lost: The sizes in bytes of results whose handles were never received, and when they expire,
+            by the server's name.
+    """
+
+    def __init__(self) -> None:
+        self.used: Counter[str] = Counter()
+        self.results: dict[str, tuple[str, float, float]] = {}
+        self.foreign: dict[str, tuple[float, float, float]] = {}
+        self.lost: dict[str, list[tuple[float, float]]] = {}
+
+    def used_bytes(self, server: str, now: float) -> float:
+        """Return the estimated number of bytes in use at a server.
+
+        Results of other instances are assumed to disappear linearly until the last one expires.
+        """
+        known = self.used[server] + self.lost_bytes(server, now)
+        size, since, until = self.foreign.get(server, (0.0, 0.0, 0.0))
+        if until <= now:
+            self.foreign.pop(server, None)
+            return known
+        return known + size * (until - now) / (until - since)
+
+    def record_lost(self, server: str, size: float, until: float) -> None:
+        """Record a result that may have been made but whose handle is unknown."""
+        self.lost.setdefault(server, []).append((size, until))
+
+    def lost_bytes(self, server: str, now: float) -> float:
+        """Return the size in bytes of the results with unknown handles at a server."""
+        lost = [one for one in self.lost.pop(server, ()) if one[1] > now]
+        if lost:
+            self.lost[server] = lost
+        return sum(size for size, _ in lost)
+
+    def record_full(
+        self, server: str, expected_free: float, now: float, result_ttl_ms: float
+    ) -> None:
+        """Record that a server had no free memory although some was expected.
+
+        Args:
+            server: The name of the server.
+            expected_free: How many bytes were expected to be free after the call.
+            now: The clock's time.
+            result_ttl_ms: How long a result is kept, in milliseconds.
+        """
+        if expected_free > 0.0:
+            self.foreign[server] = (expected_free, now, now + result_ttl_ms)
+
+    def reserve(self, server: str, size: float) -> None:
+        """Reserve memory for a result of a call that begins."""
+        self.used[server] += size
+
+    def unreserve(self, server: str, size: float) -> None:
+        """Cancel the reservation of a piece that has no result."""
+        self.used[server] = max(0.0, self.used[server] - size)
+
+    def record_result(self, handle: str, server: str, size: float, until: float) -> None:
+        """Record a result and when it expires."""
+        self.results[handle] = (server, size, until)
+
+    def release(self, handle: str) -> None:
+        """Record that a result was released."""
+        server, size, _ = self.results.pop(handle, ("", 0.0, 0.0))
+        if server:
+            self.unreserve(server, size)
+
+    def drop_expired(self, now: float) -> None:
+        """Remove the results that have expired."""
+        expired = [handle for handle, (_, _, until) in self.results.items() if until <= now]
+        for handle in expired:
+            self.release(handle)
--- a/packages/core/src/mountladder/forwarding/stagedemand.py
+++ b/packages/core/src/mountladder/forwarding/stagedemand.py
@@ -1,29 +1,29 @@
-# stagedemand.py -- What is asked of a stage service
+# stagedemand.py -- Announced pieces and arrival rates of a stage service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is asked of a stage service."""
+"""Announced pieces and arrival rates of a stage service."""
 
 from __future__ import annotations
 
 from collections import Counter
 
 from mountladder.clocks.clock import Clock
-from mountladder.forwarding.backlog import PLACES, place
+from mountladder.forwarding.backlog import PRIORITY_CLASSES, priority_class
 from mountladder.forwarding.stagejob import StageJob
 from mountladder.forwarding.stagenotice import StageNotice
 from mountladder.limits.rankrates import RankRates
 
-# Pieces that were announced and have not come by then are not expected any more.
-ANNOUNCED_MS = 2_500.0
-# At least this part of the rate is taken to be left for the least urgent pieces: what is more
-# urgent goes before them only as far as it is due soon. With a tenth waits of 30 s were expected
-# that did not come, and requests were refused for them.
-LEAST_RATE = 0.35
+# An announcement expires after this time if its pieces have not arrived.
+ANNOUNCEMENT_TTL_MS = 2_500.0
+# Minimum fraction of the throughput that is assumed to be left for the least urgent pieces, since
+# more urgent ones go first only if they are due soon. With 0.1, expected waits reached 30 s that
+# never occurred, and requests were refused for them.
+MIN_RATE_FRACTION = 0.35
 
 
 class StageDemand:
-    """What is asked of a stage service: pieces that will come, and how fast they come.
+    """Demand for a stage service: announced pieces and arrival rates.
 
     Args:
         clock: The clock.
@@ -35,38 +35,38 @@
         self.announced: dict[tuple[str, int], tuple[StageNotice, float]] = {}
 
     def announce(self, notice: StageNotice) -> None:
-        """Take in which pieces will come, so that they count as waiting already."""
+        """Record an announcement, so that its pieces count as waiting already."""
         key = (notice.request, notice.stage)
         self.announced.pop(key, None)
         if notice.pieces:
-            self.announced[key] = (notice, self.clock.now() + ANNOUNCED_MS)
+            self.announced[key] = (notice, self.clock.now() + ANNOUNCEMENT_TTL_MS)
 
-    def came(self, job: StageJob) -> None:
-        """Record that the pieces of a stage have come."""
+    def record_arrival(self, job: StageJob) -> None:
+        """Record that the pieces of a stage have arrived."""
         self.announced.pop((job.request, job.stage), None)
-        self.rates.add(job.place(self.clock.now()), job.pieces)
+        self.rates.add(job.priority_class(self.clock.now()), job.pieces)
 
-    def coming(self) -> Counter[int]:
-        """Return how many announced pieces are still to come, by their place."""
+    def count_announced(self) -> Counter[int]:
+        """Return the number of announced pieces that have not arrived, by priority class."""
         now = self.clock.now()
         self.announced = {key: one for key, one in self.announced.items() if one[1] > now}
-        coming: Counter[int] = Counter()
+        counts: Counter[int] = Counter()
         for notice, _ in self.announced.values():
-            coming[place(notice.urgency, notice.gives_way)] += notice.pieces
-        return coming
+            counts[priority_class(notice.urgency, notice.gives_way)] += notice.pieces
+        return counts
 
     def waits_ms(self, waiting: Counter[int], rate: float, busy_ms: float) -> tuple[float, ...]:
-        """Return how long new pieces are expected to wait, by their place.
+        """Return the expected waits of new pieces in milliseconds, by priority class.
 
         Args:
-            waiting: How many pieces wait, by their place.
-            rate: How many pieces a millisecond all servers can make.
-            busy_ms: How long until the first server is free.
+            waiting: The number of waiting pieces by priority class.
+            rate: The throughput of all servers in pieces per millisecond.
+            busy_ms: The time until the first server is free, in milliseconds.
         """
-        ahead = waiting + self.coming()
+        ahead = waiting + self.count_announced()
         waits = []
-        for here in PLACES:
-            # What comes in meanwhile and is more urgent goes first.
-            left = max(LEAST_RATE * rate, rate - self.rates.above(here))
-            waits.append(busy_ms + sum(ahead[one] for one in range(here + 1)) / left)
+        for priority in PRIORITY_CLASSES:
+            # More urgent pieces that arrive meanwhile go first.
+            left_rate = max(MIN_RATE_FRACTION * rate, rate - self.rates.above(priority))
+            waits.append(busy_ms + sum(ahead[one] for one in range(priority + 1)) / left_rate)
         return tuple(waits)
--- a/packages/core/src/mountladder/forwarding/stagedispatch.py
+++ b/packages/core/src/mountladder/forwarding/stagedispatch.py
@@ -1,8 +1,8 @@
-# stagedispatch.py -- Handing stages to the instances where pieces meet
+# stagedispatch.py -- Sends stages to the instances that coordinate their services
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Handing stages to the instances where pieces meet."""
+"""Sends stages to the instances that coordinate their services."""
 
 from __future__ import annotations
 
@@ -33,22 +33,24 @@
 
 
 class StageDispatch:
-    """Hands each stage to the instance where the pieces of its service meet.
+    """Sends each stage to its service's coordinator, the instance that batches its pieces.
 
-    Where that instance falls silent its stages are handed to the next one. Two instances that both
-    take the pieces of a service cost batches that are less full, and nothing worse. Of a divided
-    service pieces meet in each data centre; the instance there hands those on that would wait long
-    to the one of another data centre.
+    If that instance becomes unreachable, its stages are sent to the next one. Two instances that
+    coordinate the same service for a time only make batches less full. A divided service has a
+    coordinator in each data centre, which lends stages that would wait long to the coordinator of
+    another data centre.
 
     Args:
         fleet: The other instances.
-        make_batcher: Makes the batcher of a service.
+        make_batcher: Creates the batcher of a service.
         clock: The clock.
 
     Attributes:
-        submissions: The stages that were handed over and are not done, by their numbers.
-        foreign: Those among them that a peer left to this instance, by its link and number.
-        lent_results: Where results were made that another data centre made for this one.
+        batchers: The batchers of this instance, by their service.
+        submissions: The stages that are not done, by their numbers.
+        peer_submissions: Those of them that a peer handed over to this instance, by the link's id
+            and the peer's number.
+        lent_results: The origins of results that other data centres made for this one.
     """
 
     def __init__(self, fleet: Fleet, make_batcher: Callable[[str], Batcher], clock: Clock) -> None:
@@ -58,212 +60,212 @@
         self.batchers: dict[str, Batcher] = {}
         self.numbers = itertools.count(1)
         self.submissions: dict[int, Submission] = {}
-        self.foreign: dict[tuple[int, int], Submission] = {}
+        self.peer_submissions: dict[tuple[int, int], Submission] = {}
         self.lent_results = LentResults()
         self.lending = Lending(clock, fleet.membership.me.datacentre)
         self.backlogs = StageBacklogs(fleet, self.batchers, self.batcher, self.lending, clock)
-        fleet.backlogs = self.backlogs.here
-        fleet.on_backlog = self.backlogs.take
-        fleet.subscribe(StageOrder, self.take_order)
-        fleet.subscribe(StageOutcome, self.take_outcome)
-        fleet.subscribe(StageNotice, self.take_notice)
-        fleet.subscribe(StageRelease, self.take_release)
-        fleet.subscribe(StageWithdrawal, self.take_withdrawal)
-        fleet.on_link_lost = self.move_from
-        fleet.peer_gone.append(self.drop)
+        fleet.backlogs = self.backlogs.local_backlogs
+        fleet.on_backlog = self.backlogs.record
+        fleet.subscribe(StageOrder, self.handle_order)
+        fleet.subscribe(StageOutcome, self.handle_outcome)
+        fleet.subscribe(StageNotice, self.handle_notice)
+        fleet.subscribe(StageRelease, self.handle_release)
+        fleet.subscribe(StageWithdrawal, self.handle_withdrawal)
+        fleet.on_link_lost = self.reassign_from
+        fleet.peer_gone.append(self.withdraw_from_peer)
 
     def batcher(self, service: str) -> Batcher:
-        """Return this instance's batcher of a service."""
+        """Return this instance's batcher of a service, created if there is none."""
         found = self.batchers.get(service)
         if found is None:
             found = self.batchers[service] = self.make_batcher(service)
         return found
 
     def limits(self, service: str) -> BatchLimits | None:
-        """Return what a server of a service takes at once, where the catalogue has it."""
+        """Return the batch limits of a service's servers, or None if the catalogue lacks it."""
         return self.batcher(service).limits()
 
     def submit(self, job: StageJob, done: Done) -> Submission:
-        """Hand over a stage; done is called once with the results of its pieces."""
+        """Submit a stage; done is called once with the results of its pieces."""
         submission = Submission(next(self.numbers), job, done)
         self.submissions[submission.number] = submission
-        self.place(submission)
+        self.assign(submission)
         return submission
 
-    def place(self, submission: Submission) -> None:
-        """Hand a stage to the instance where its pieces meet, or take it on here."""
+    def assign(self, submission: Submission) -> None:
+        """Send a stage to its service's coordinator, or assign it here if this instance is that."""
         link = self.fleet.home(submission.job.service)
         if link is not None:
-            self.hand_over(submission, link, lent=False)
+            self.send_to(submission, link, lent=False)
         else:
-            self.place_here(submission)
+            self.run_or_lend(submission)
 
-    def hand_over(self, submission: Submission, link: Link, lent: bool) -> None:
-        """Leave a stage to another instance."""
-        submission.home = link.peer.peer
+    def send_to(self, submission: Submission, link: Link, lent: bool) -> None:
+        """Send a stage to another instance."""
+        submission.assignee = link.peer.peer
         submission.lent = lent
         job = submission.job.shifted(-self.clock.now())
         self.fleet.send_later(link, StageOrder(submission.number, job, lent))
 
-    def place_here(self, submission: Submission) -> None:
-        """Take on a stage whose pieces meet here, or lend it to another data centre."""
+    def run_or_lend(self, submission: Submission) -> None:
+        """Run a stage of a service coordinated here, or lend it to another data centre."""
         job = submission.job
-        places = self.fleet.places(job.service) if self.is_divided(job.service) else {}
-        there = self.lending_target(job, places)
-        if there:
-            self.batcher(job.service).demand.came(job)
-            self.hand_over(submission, places[there], lent=True)
+        coordinators = self.fleet.places(job.service) if self.is_divided(job.service) else {}
+        target = self.lending_target(job, coordinators)
+        if target:
+            self.batcher(job.service).demand.record_arrival(job)
+            self.send_to(submission, coordinators[target], lent=True)
         else:
-            self.take_on(submission)
+            self.run_here(submission)
 
     def is_divided(self, service: str) -> bool:
-        """Tell whether a service's pieces meet in each data centre, not in one place for all."""
+        """Return whether a service has a coordinator in each data centre."""
         return self.fleet.division.is_divided(service)
 
-    def lending_target(self, job: StageJob, places: Mapping[str, Link]) -> str:
-        """Return the data centre to lend a stage to, or an empty string."""
-        if not places:
+    def lending_target(self, job: StageJob, coordinators: Mapping[str, Link]) -> str:
+        """Return the data centre to lend a stage to, or an empty string to run it here."""
+        if not coordinators:
             return ""
         batcher = self.batcher(job.service)
         now = self.clock.now()
-        here = job.place(now)
-        own_ms = math.inf
-        if self.fleet.division.has_own(job.service):
-            own_ms = batcher.newest_backlog(now).waits_ms[here]
-        there = self.lending.choose(job, own_ms, places)
+        priority = job.priority_class(now)
+        local_wait_ms = math.inf
+        if self.fleet.division.has_local_servers(job.service):
+            local_wait_ms = batcher.compute_backlog(now).waits_ms[priority]
+        target = self.lending.choose(job, local_wait_ms, coordinators)
         limits = batcher.limits()
-        if there and limits is not None:
-            servers = self.fleet.division.count(job.service, there)
+        if target and limits is not None:
+            servers = self.fleet.division.count(job.service, target)
             piece_ms = limits.expected_ms(limits.pieces) / (limits.pieces * max(1, servers))
             log_message(
                 "stage-lent",
                 request=job.request,
                 service=job.service,
                 pieces=job.pieces,
-                datacentre=there,
-                wanted=job.datacentre,
-                own_ms=own_ms if math.isinf(own_ms) else round(own_ms),
-                there_ms=round(self.lending.wait_ms(job.service, there, here)),
+                datacentre=target,
+                preferred=job.datacentre,
+                local_wait_ms=local_wait_ms if math.isinf(local_wait_ms) else round(local_wait_ms),
+                remote_wait_ms=round(self.lending.wait_ms(job.service, target, priority)),
             )
-            self.lending.lend(job, there, piece_ms)
-        return there
+            self.lending.lend(job, target, piece_ms)
+        return target
 
-    def take_on(self, submission: Submission) -> None:
-        """Let the pieces of a stage wait for servers here."""
+    def run_here(self, submission: Submission) -> None:
+        """Queue the pieces of a stage at this instance's batcher."""
         job = submission.job
-        submission.home = ""
+        submission.assignee = ""
         submission.lent = False
 
         def settled(results: Results) -> None:
-            """Take in the results of this instance's own batcher."""
+            """Pass on the results, or release them if the stage was withdrawn."""
             if not self.settle(submission.number, results):
                 self.batcher(job.service).release(_handles(results))
 
         submission.progress = self.batcher(job.service).submit(job, settled)
 
     def settle(self, number: int, results: Results) -> bool:
-        """Hand the results of a stage to the request that waits for them, where it still does."""
+        """Pass on a stage's results; return False if it is done or withdrawn already."""
         submission = self.submissions.pop(number, None)
         if submission is None:
             return False
-        if submission.moved:
-            # The instance that had it before may have begun it.
-            results = tuple(_certain(result) for result in results)
+        if submission.reassigned:
+            # The instance that had the stage before may have begun it.
+            results = tuple(_without_not_begun(result) for result in results)
         if submission.lent:
-            self.lent_results.remember(_handles(results), submission.home)
+            self.lent_results.remember(_handles(results), submission.assignee)
         submission.done(results)
         return True
 
     def withdraw(self, submission: Submission) -> None:
-        """Drop a stage that is not wanted any more."""
+        """Withdraw a stage whose results are no longer needed."""
         if self.submissions.pop(submission.number, None) is None:
             return
         if submission.progress is not None:
             self.batcher(submission.job.service).withdraw(submission.progress)
-        link = self.fleet.links.get(submission.home)
+        link = self.fleet.links.get(submission.assignee)
         if link is not None:
             self.fleet.send_later(link, StageWithdrawal(submission.number))
 
     def announce(self, notice: StageNotice) -> None:
-        """Tell the instance where a service's pieces meet which ones will come."""
-        self.hand(notice, lambda: self.batcher(notice.service).demand.announce(notice))
+        """Announce pieces to their service's coordinator."""
+        self.send_or_apply(notice, lambda: self.batcher(notice.service).demand.announce(notice))
 
     def release(self, service: str, handles: Sequence[str]) -> None:
-        """Give up results of a service, at the instance where its pieces meet."""
-        named = tuple(handle for handle in handles if handle)
-        if not named:
+        """Release results of a service through its coordinator."""
+        valid = tuple(handle for handle in handles if handle)
+        if not valid:
             return
-        self.hand(StageRelease(service, named), lambda: self.release_here(service, named))
+        self.send_or_apply(StageRelease(service, valid), lambda: self.release_here(service, valid))
 
-    def hand(self, message: StageNotice | StageRelease, take: Callable[[], None]) -> None:
-        """Send a message to where its service's pieces meet, or take it in where that is here."""
+    def send_or_apply(self, message: StageNotice | StageRelease, apply: Callable[[], None]) -> None:
+        """Send a message to its service's coordinator; call apply if that is this instance."""
         link = self.fleet.home(message.service)
         if link is None:
-            take()
+            apply()
         else:
             self.fleet.send_later(link, message)
 
-    def take_notice(self, notice: StageNotice, link: Link) -> None:
-        """Take in which pieces another instance's request will send."""
+    def handle_notice(self, notice: StageNotice, link: Link) -> None:
+        """Handle an announcement of pieces from another instance."""
         self.batcher(notice.service).demand.announce(notice)
 
-    def take_release(self, release: StageRelease, link: Link) -> None:
-        """Give up results that another instance does not need any more."""
+    def handle_release(self, release: StageRelease, link: Link) -> None:
+        """Handle the release of results by another instance."""
         self.release_here(release.service, release.handles)
 
     def release_here(self, service: str, handles: Sequence[str]) -> None:
-        """Give up results, those that were made for another data centre at the place there."""
-        for address, named in self.lent_results.sort_out(handles).items():
+        """Release results; those that were lent out, through the coordinator that had them made."""
+        for address, grouped in self.lent_results.pop_by_origin(handles).items():
             link = self.fleet.links.get(address)
             if link is None:
-                self.batcher(service).release(named)
+                self.batcher(service).release(grouped)
             else:
-                self.fleet.send_later(link, StageRelease(service, tuple(named)))
+                self.fleet.send_later(link, StageRelease(service, tuple(grouped)))
 
-    def move_from(self, address: str) -> None:
-        """Hand on the stages that an instance had which cannot be reached any more."""
-        lost = [one for one in self.submissions.values() if one.home == address]
+    def reassign_from(self, address: str) -> None:
+        """Reassign the stages of an instance that has become unreachable."""
+        lost = [one for one in self.submissions.values() if one.assignee == address]
         if lost:
-            log_message("stages-moved", instance=address, stages=len(lost))
+            log_message("stages-reassigned", instance=address, stages=len(lost))
         for submission in lost:
-            submission.moved = True
-            self.place(submission)
+            submission.reassigned = True
+            self.assign(submission)
 
-    def take_order(self, order: StageOrder, link: Link) -> None:
-        """Take on a stage that another instance leaves to this one."""
+    def handle_order(self, order: StageOrder, link: Link) -> None:
+        """Handle a stage that another instance hands over."""
         key = (id(link), order.number)
 
         def done(results: Results) -> None:
             """Send the results back."""
-            self.foreign.pop(key, None)
-            backlog = self.backlogs.own(order.job.service)
+            self.peer_submissions.pop(key, None)
+            backlog = self.backlogs.local_backlog(order.job.service)
             self.fleet.send_later(link, StageOutcome(order.number, results, backlog))
 
         job = order.job.shifted(self.clock.now())
         submission = Submission(next(self.numbers), job, done)
-        self.submissions[submission.number] = self.foreign[key] = submission
+        self.submissions[submission.number] = self.peer_submissions[key] = submission
         if order.lent:
-            self.take_on(submission)
+            self.run_here(submission)
         else:
-            self.place_here(submission)
+            self.run_or_lend(submission)
 
-    def drop(self, link: Link) -> None:
-        """Drop the stages of an instance that cannot be reached any more.
+    def withdraw_from_peer(self, link: Link) -> None:
+        """Withdraw the stages of a peer that has become unreachable.
 
-        It hands them to another instance, or has ended; nobody would take their results.
+        It has reassigned them or has stopped, so nothing waits for their results here.
         """
-        lost = [key for key in self.foreign if key[0] == id(link)]
+        lost = [key for key in self.peer_submissions if key[0] == id(link)]
         if lost:
             log_message("stages-dropped", peer=link.peer.name, stages=len(lost))
         for key in lost:
-            self.withdraw(self.foreign.pop(key))
+            self.withdraw(self.peer_submissions.pop(key))
 
-    def take_outcome(self, outcome: StageOutcome, link: Link) -> None:
-        """Take in the results of a stage that was left to another instance."""
-        self.backlogs.take(outcome.backlog, link.peer.datacentre)
+    def handle_outcome(self, outcome: StageOutcome, link: Link) -> None:
+        """Handle the results of a stage that was handed over to another instance."""
+        self.backlogs.record(outcome.backlog, link.peer.datacentre)
         if self.settle(outcome.number, outcome.results):
             return
-        # Its withdrawal and these results were under way at the same time.
+        # The stage was withdrawn while these results were in flight.
         handles = _handles(outcome.results)
         if handles:
             self.fleet.send_later(link, StageRelease(outcome.backlog.service, handles))
@@ -272,9 +274,9 @@
         """Return how long new pieces of a service are expected to wait, in milliseconds."""
         return self.backlogs.wait_ms(service, urgency, gives_way)
 
-    def take_withdrawal(self, withdrawal: StageWithdrawal, link: Link) -> None:
-        """Drop a stage that the instance it came from does not want any more."""
-        submission = self.foreign.pop((id(link), withdrawal.number), None)
+    def handle_withdrawal(self, withdrawal: StageWithdrawal, link: Link) -> None:
+        """Handle the withdrawal of a stage by the instance that handed it over."""
+        submission = self.peer_submissions.pop((id(link), withdrawal.number), None)
         if submission is not None:
             self.withdraw(submission)
 
@@ -283,7 +285,7 @@
     return tuple(one.handle for one in results if one.handle)
 
 
-def _certain(result: PieceResult) -> PieceResult:
+def _without_not_begun(result: PieceResult) -> PieceResult:
     if result.failure is PieceFailure.NOT_BEGUN:
         return PieceResult("", PieceFailure.LATE)
     return result
--- a/packages/core/src/mountladder/forwarding/streamrun.py
+++ b/packages/core/src/mountladder/forwarding/streamrun.py
@@ -105,7 +105,7 @@
                 raise
             else:
                 self.succeeded(attempt, answer.load, streaming=True)
-                self.context.fetch_time.fetched()
+                self.context.fetch_time.record_fetched()
                 return attempt, answer, first
 
     def schedule_release(self) -> None:
@@ -118,7 +118,7 @@
     def record_missing_results(self) -> None:
         """Record that a server could not fetch stage results, which are made again."""
         if self.flow is not None and not self.flow.handles:
-            self.context.fetch_time.too_early()
+            self.context.fetch_time.record_early_release()
         elif self.flow is not None:
             self.flow.release()
 
@@ -142,11 +142,7 @@
                 return complete
 
     def events(
-        self,
-        attempt: ForwardAttempt,
-        answer: UpstreamAnswer,
-        splitter: EventSplitter,
-        first: bytes,
+        self, attempt: ForwardAttempt, answer: UpstreamAnswer, splitter: EventSplitter, first: bytes
     ) -> Iterator[bytes]:
         """Yield the events of a stream, resuming it at other servers where that is allowed.
 
