--- a/packages/core/src/mountladder/engines/__init__.py
+++ b/packages/core/src/mountladder/engines/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Orders to model engines
+# __init__.py -- Orders to model engines about the models that they serve
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders to model engines."""
+"""Orders to model engines about the models that they serve."""
--- a/packages/core/src/mountladder/engines/engines.py
+++ b/packages/core/src/mountladder/engines/engines.py
@@ -1,8 +1,8 @@
-# engines.py -- Orders to model engines
+# engines.py -- Interface to model engines
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders to model engines."""
+"""Interface to model engines."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class Engines(ABC):
-    """Reads what engines serve and orders them to serve something else."""
+    """Reads which models engines serve, and sends them orders."""
 
     @abstractmethod
     def state(self, server: BackendServer) -> EngineState:
-        """Return what an engine serves.
+        """Return the state of an engine.
 
         Raises:
             StageError: It cannot be reached or its answer is malformed.
@@ -29,6 +29,6 @@
         """Order an engine to reach a state.
 
         Raises:
-            OrderFencedError: It was given a higher fencing number already.
+            OrderFencedError: It has already received a higher fencing number.
             StageError: It cannot be reached.
         """
--- a/packages/core/src/mountladder/engines/enginestate.py
+++ b/packages/core/src/mountladder/engines/enginestate.py
@@ -1,8 +1,8 @@
-# enginestate.py -- What a model engine serves
+# enginestate.py -- State that a model engine reports
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a model engine serves."""
+"""State that a model engine reports."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine serves at present.
+    """The models that an engine serves and loads at present.
 
     Attributes:
-        models: The loaded models, each with its version, by name.
-        loading: The models that it is loading.
-        fence: The highest fencing number it was given.
+        models: The loaded models as pairs of name and version, sorted by name.
+        loading: The models that it is loading, in the same form.
+        fence: The highest fencing number that it has received.
     """
 
     models: tuple[tuple[str, str], ...]
--- a/packages/core/src/mountladder/engines/orders.py
+++ b/packages/core/src/mountladder/engines/orders.py
@@ -1,8 +1,8 @@
-# orders.py -- Keeping the engines of a data centre at their wanted state
+# orders.py -- Reconciles the engines of a data centre with their desired models
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Keeping the engines of a data centre at their wanted state."""
+"""Reconciles the engines of a data centre with their desired models."""
 
 from __future__ import annotations
 
@@ -28,19 +28,20 @@
 
 
 class Orders:
-    """Compares what the engines serve with what they are to serve, and mends the difference.
+    """Compares the models that engines serve with the desired ones, and orders corrections.
 
-    Only the holder of the data centre's lease sends orders, each a whole wanted state under its
-    fencing number. What the engines serve is read anew each time, so that an order of a paused
-    holder that an engine took all the same is noticed and mended. Few engines load at once, since
-    the weight store is limited, and a model is never taken from the last engine that serves it.
+    Only the holder of the data centre's lease sends orders, each with the complete desired state
+    and the holder's fencing number. The engines' states are read again each time, so that an order
+    of a paused former holder that an engine accepted is detected and corrected. Only a few engines
+    load at once, since the weight store is limited, and a model is never unloaded from the last
+    engine that serves it.
 
     Args:
         datacentre: The data centre.
         follower: The configuration in force.
         engines: The engines.
-        lease: The lease on ordering them.
-        metrics: Where orders are counted.
+        lease: The lease that entitles its holder to send orders.
+        metrics: Counts orders.
     """
 
     def __init__(
@@ -60,10 +61,9 @@
         self.next_at = 0.0
 
     def step(self) -> None:
-        """Renew or try to take the lease, and where it is held mend what differs.
+        """Renew or try to acquire the lease, and reconcile the engines while it is held.
 
-        The engines are read the more seldom the more there are, so that the holder's work stays
-        bounded.
+        The interval grows with the number of engines, so that the holder's work stays bounded.
         """
         if not self.lease.step():
             self.ordered.clear()
@@ -78,10 +78,10 @@
             log_message("orders-stopped", datacentre=self.datacentre, fence=self.lease.fence)
 
     def mend(self) -> None:
-        """Send the orders that are needed.
+        """Send an order to each engine that needs one.
 
         Raises:
-            LeaseLostError: The lease came too near its end meanwhile.
+            LeaseLostError: The lease is about to expire, or an engine has a later holder's order.
         """
         configuration = self.follower.configuration
         servers = {one.name: one for one in engines_of(configuration, self.datacentre)}
@@ -107,9 +107,9 @@
             self.send(servers[name], state, target)
 
     def is_needed(self, state: EngineState, target: Models) -> bool:
-        """Tell whether an engine needs an order.
+        """Return whether an engine needs an order.
 
-        Each engine gets one in every term, so that it refuses those of earlier holders.
+        Each engine gets an order in every lease term, so that it refuses those of earlier holders.
         """
         if state.fence < self.lease.fence:
             return True
@@ -118,7 +118,7 @@
         return target != state.models
 
     def states(self, servers: Mapping[str, BackendServer]) -> dict[str, EngineState]:
-        """Return what those engines serve that can be reached."""
+        """Return the states of the engines that can be reached, by name."""
         states: dict[str, EngineState] = {}
         for name, server in servers.items():
             try:
@@ -128,7 +128,12 @@
         return states
 
     def without_loss(self, state: EngineState, target: Models, serving: Counter[str]) -> Models:
-        """Return a target that keeps each configured model that no other engine serves."""
+        """Return a target that keeps each configured model that no other engine serves.
+
+        Args:
+            state: The engine's state.
+            target: The desired models.
+            serving: How many engines serve each configured model; reduced for those unloaded."""
         kept = dict(target)
         for model, version in state.models:
             if model in kept:
@@ -140,7 +145,10 @@
         return tuple(sorted(kept.items()))
 
     def send(self, server: BackendServer, state: EngineState, target: Models) -> None:
-        """Send one order and log why."""
+        """Send one order, and log it as a repair where the engine deviated from the last one.
+
+        Raises:
+            LeaseLostError: The lease is about to expire, or the engine has a later order."""
         self.lease.check()
         repaired = self.ordered.get(server.name) == target
         event = "order-repaired" if repaired else "order-sent"
@@ -151,7 +159,7 @@
             self.engines.order(server, Order(fence, target))
         except OrderFencedError:
             self.lease.holding = False
-            raise LeaseLostError("an engine knows of a later holder") from None
+            raise LeaseLostError("an engine has an order of a later lease holder") from None
         except StageError as error:
             log_message("order-failed", server=server.name, reason=error.detail)
             return
--- a/packages/core/src/mountladder/engines/placement.py
+++ b/packages/core/src/mountladder/engines/placement.py
@@ -1,8 +1,8 @@
-# placement.py -- Which models each engine is to serve
+# placement.py -- Assigns models to the engines of a data centre
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which models each engine is to serve."""
+"""Assigns models to the engines of a data centre."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 def wanted_models(
     configuration: Configuration, datacentre: str, states: Mapping[str, EngineState]
 ) -> dict[str, tuple[tuple[str, str], ...]]:
-    """Return the models that each engine of a data centre is to serve, by the engine's name.
+    """Return the desired models of each reachable engine of a data centre, by the engine's name.
 
-    A model goes to as many engines as it has replicas, out of those that its selector and their
-    own lists of models allow. Engines that serve it already come first, so that nothing is moved
-    without need; the others follow by a hash, which spreads the models. A model without replicas
-    is left where it is.
+    A model is assigned to as many engines as it has replicas, out of those that its selector and
+    their own lists of models allow. Engines that already serve it come first, so that models are
+    not moved without need; the others follow in the order of a hash, which spreads the models. A
+    model without a number of replicas stays where it is.
 
     Args:
         configuration: The configuration in force.
         datacentre: The data centre.
-        states: What the engines that can be reached serve.
+        states: The states of the engines that can be reached, by name.
     """
     engines = [one for one in engines_of(configuration, datacentre) if one.name in states]
     wanted: dict[str, list[tuple[str, str]]] = {one.name: [] for one in engines}
@@ -40,7 +40,7 @@
 
 
 def engines_of(configuration: Configuration, datacentre: str) -> list[BackendServer]:
-    """Return the model engines of a data centre, by name."""
+    """Return the model engines of a data centre."""
     return [
         server
         for server in configuration.of_kind("server")
@@ -66,7 +66,7 @@
     ]
 
     def preference(engine: BackendServer) -> tuple[bool, int]:
-        """Sort engines that serve the model first, then by a hash."""
+        """Return a sort key: engines that serve the model first, then by a hash."""
         state = states[engine.name]
         has_it = model.name in dict(state.models + state.loading)
         return not has_it, xxhash.xxh64_intdigest(f"{model.name}\0{engine.name}".encode())
--- a/packages/core/src/mountladder/limits/__init__.py
+++ b/packages/core/src/mountladder/limits/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Which requests run, which wait, and how often a call is repeated
+# __init__.py -- Admission control and retry budgets
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which requests run, which wait, and how often a call is repeated."""
+"""Admission control and retry budgets."""
--- a/packages/core/src/mountladder/limits/admission.py
+++ b/packages/core/src/mountladder/limits/admission.py
@@ -1,8 +1,8 @@
-# admission.py -- Which requests run and which wait or are refused
+# admission.py -- Admission control: runs, queues or sheds requests by team
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which requests run and which wait or are refused."""
+"""Admission control: runs, queues or sheds requests by team."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Admission:
-    """Shares an instance's room for running requests among teams by their weights.
+    """Shares an instance's capacity for running requests among teams by their weights.
 
-    While there is room everyone is admitted, so that unused share is lent. When there is none,
-    requests wait. A free place goes to the team with the least running for its share, and within
-    the team to the request that must start soonest. Where too many wait, one of the team that
-    holds the most for its share is refused at once.
+    While there is capacity every request is admitted, so that teams may use unused shares of
+    others. Otherwise requests wait. A free slot goes to the team with the fewest running requests
+    for its share, within the team by urgency and then by the latest time of admission. Where too
+    many requests wait, one of the team with the most requests for its share is refused at once.
 
     Args:
         clock: The clock.
-        most_running: The most requests that run at once.
-        most_waiting: The most requests that wait at once.
+        most_running: The maximum number of running requests.
+        most_waiting: The maximum number of waiting requests.
     """
 
     def __init__(self, clock: Clock, most_running: int, most_waiting: int) -> None:
@@ -39,15 +39,16 @@
         self.closed = False
 
     def enter(self, team: Team, urgency: int, latest: float) -> None:
-        """Wait for a place.
+        """Admit a request, after a wait where no slot is free.
 
         Args:
             team: The team that the request belongs to.
             urgency: The urgency of its pipeline.
-            latest: When it must be admitted at the latest, in the clock's milliseconds.
+            latest: The latest time of admission, in the clock's milliseconds.
 
         Raises:
-            RefusalError: There is no place for it in time.
+            RefusalError: It was shed, its team is at its limit, no slot became free in time, or the
+                instance is shutting down.
         """
         if self.closed:
             raise RefusalError("", Code.SHUTTING_DOWN, retry_after_ms=1_000)
@@ -61,27 +62,27 @@
         self.wait(waiter)
 
     def leave(self, team: Team) -> None:
-        """Give a place back and admit the next request that waits."""
+        """Release a slot and admit the next waiting request."""
         self.running[team.name] -= 1
         self.total -= 1
         self.admit()
 
     def take(self, team: Team) -> None:
-        """Take a place."""
+        """Occupy a slot."""
         self.running[team.name] += 1
         self.total += 1
 
     def queue(self, waiter: Waiter) -> None:
-        """Let a request wait, shedding another one where too many do."""
+        """Enqueue a request, and shed one where the queue is too long."""
         self.waiting.append(waiter)
         if len(self.waiting) > self.most_waiting:
             shed = self.heaviest()
             self.waiting.remove(shed)
             code = Code.TEAM_LIMIT if len(self.teams_waiting()) > 1 else Code.OVERLOADED
-            shed.refuse(RefusalError("too many requests wait", code, retry_after_ms=1_000))
+            shed.refuse(RefusalError("too many requests are waiting", code, retry_after_ms=1_000))
 
     def wait(self, waiter: Waiter) -> None:
-        """Wait until a request is admitted or refused, or it is too late for it."""
+        """Wait until a request is admitted or refused, or its latest time of admission passes."""
         try:
             self.clock.wait(waiter.settled, waiter.latest - self.clock.now())
         except BaseException:
@@ -90,20 +91,22 @@
         if not waiter.settled.is_set():
             self.waiting.remove(waiter)
             raise RefusalError(
-                "no place was free in time", Code.DEADLINE_UNMEETABLE, retry_after_ms=1_000
+                "no slot became free in time", Code.DEADLINE_UNMEETABLE, retry_after_ms=1_000
             )
         if waiter.refusal is not None:
             raise waiter.refusal
 
     def withdraw(self, waiter: Waiter) -> None:
-        """Take back a request whose caller went away while it waited."""
+        """Remove a request whose wait was interrupted, such as by a caller that disconnected.
+
+        Where it was admitted already, its slot is released."""
         if waiter in self.waiting:
             self.waiting.remove(waiter)
         elif waiter.refusal is None:
             self.leave(waiter.team)
 
     def admit(self) -> None:
-        """Admit waiting requests while there is room; refuse those it is too late for."""
+        """Admit waiting requests while slots are free; refuse those that are too late."""
         while self.waiting and self.total < self.most_running:
             waiter = min(self.waiting, key=self.order)
             self.waiting.remove(waiter)
@@ -130,11 +133,11 @@
         return max(self.waiting, key=weight)
 
     def teams_waiting(self) -> Counter[str]:
-        """Return how many requests of each team wait."""
+        """Return the number of waiting requests by team."""
         return Counter(waiter.team.name for waiter in self.waiting)
 
     def close(self) -> None:
-        """Refuse every request that waits and all that come."""
+        """Refuse all waiting and all later requests."""
         self.closed = True
         for waiter in self.waiting:
             waiter.refuse(RefusalError("", Code.SHUTTING_DOWN, retry_after_ms=1_000))
--- a/packages/core/src/mountladder/limits/rankrates.py
+++ b/packages/core/src/mountladder/limits/rankrates.py
@@ -1,8 +1,8 @@
-# rankrates.py -- How much work of each rank comes in
+# rankrates.py -- Arrival rates of work by rank
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How much work of each rank comes in."""
+"""Arrival rates of work by rank."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from mountladder.clocks.clock import Clock
 
-# Long enough to hold some tens of requests, short enough to follow bursts of a few seconds.
+# Long enough for a few dozen requests, short enough to follow bursts of a few seconds.
 WINDOW_MS = 1_500.0
 
 
 class RankRates:
-    """Counts the work that came in lately, by the rank of its request.
+    """Measures the work that arrived within a sliding window, by the rank of its request.
 
     Args:
         clock: The clock.
@@ -27,12 +27,12 @@
         self.sums: Counter[int] = Counter()
 
     def add(self, rank: int, amount: int) -> None:
-        """Record work that came in."""
+        """Record work that arrived."""
         self.arrivals.append((self.clock.now(), rank, amount))
         self.sums[rank] += amount
 
     def above(self, rank: int) -> float:
-        """Return how much work of more urgent ranks comes in, in units a millisecond."""
+        """Return the arrival rate of work of more urgent ranks, in units a millisecond."""
         horizon = self.clock.now() - WINDOW_MS
         while self.arrivals and self.arrivals[0][0] < horizon:
             _, old, amount = self.arrivals.popleft()
--- a/packages/core/src/mountladder/limits/usage.py
+++ b/packages/core/src/mountladder/limits/usage.py
@@ -1,8 +1,8 @@
-# usage.py -- How much of the work lately was each team's
+# usage.py -- Recent work of each team compared with its share
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How much of the work lately was each team's."""
+"""Recent work of each team compared with its share."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Usage:
-    """Keeps the work lately let in for each team, against its share.
+    """Tracks the recently admitted work of each team, compared with its share.
 
-    Every instance judges by the work it let in itself. Callers are spread over the instances, so
-    that this holds for all of them together without a message.
+    Each instance counts only the work that it admitted itself. Callers are spread over the
+    instances, so this approximates the total without messages between them.
 
     Args:
         clock: The clock.
@@ -30,15 +30,15 @@
         self.faded_at = 0.0
 
     def add(self, team: Team, work_ms: float) -> None:
-        """Record work that is let in for a team."""
+        """Record work that is admitted for a team, in milliseconds of stage time."""
         self.fade()
         self.work[team.name] = self.work.get(team.name, 0.0) + work_ms
         self.shares[team.name] = team.share
 
     def excess(self, team: Team) -> float:
-        """Return by how much a team's part of the work exceeds its share among active teams.
+        """Return the ratio of a team's fraction of the work to its share among active teams.
 
-        1 is exactly its share; a team alone never exceeds it.
+        1 is exactly its share; a single active team never exceeds it.
         """
         self.fade()
         total = sum(self.work.values())
@@ -51,7 +51,7 @@
         return part / (team.share / shares)
 
     def fade(self) -> None:
-        """Let what was recorded fade, and forget teams that have none left."""
+        """Decay the recorded work, and drop teams that have almost none left."""
         now = self.clock.now()
         factor = 0.5 ** ((now - self.faded_at) / HALF_LIFE_MS)
         self.faded_at = now
--- a/packages/core/src/mountladder/limits/waiter.py
+++ b/packages/core/src/mountladder/limits/waiter.py
@@ -1,8 +1,8 @@
-# waiter.py -- A request that waits to be admitted
+# waiter.py -- Request that waits for admission
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request that waits to be admitted."""
+"""Request that waits for admission."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Waiter:
-    """A request that waits to be admitted.
+    """A request that waits for admission.
 
     Attributes:
         team: Its team.
         urgency: Its pipeline's urgency; a lower number is shed later.
-        latest: When it must be admitted at the latest to be in time.
+        latest: The latest time of admission, in the clock's milliseconds.
         settled: Set once it was admitted or refused.
         refusal: Why it was refused, or None.
     """
@@ -31,6 +31,6 @@
         self.refusal: RefusalError | None = None
 
     def refuse(self, refusal: RefusalError) -> None:
-        """Refuse it."""
+        """Refuse the request and wake its greenlet."""
         self.refusal = refusal
         self.settled.set()
--- a/packages/core/src/mountladder/limits/windowbudget.py
+++ b/packages/core/src/mountladder/limits/windowbudget.py
@@ -1,8 +1,8 @@
-# windowbudget.py -- A limit on retries over a sliding window, shared by instances
+# windowbudget.py -- Retry budget over a sliding window, shared by instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A limit on retries over a sliding window, shared by instances."""
+"""Retry budget over a sliding window, shared by instances."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class WindowBudget:
-    """Allows retries as a share of requests in a sliding window, and a part of a common reserve.
+    """Allows retries as a fraction of the requests in a sliding window, plus a shared reserve.
 
-    Each instance counts only what it sees itself and spends only its part of the reserve, so that
-    all of them together stay within the common limit without talking.
+    Each instance counts only its own requests and spends only its part of the reserve, so that
+    all together stay within the common limit without exchanging messages.
 
     Args:
         clock: The clock.
-        ratio: How many retries each request of the window allows.
-        window_ms: The length of the window.
-        reserve: Returns this instance's part of the reserve at the moment.
+        ratio: The number of retries that each request in the window allows.
+        window_ms: The length of the window, in milliseconds.
+        reserve: Returns this instance's present part of the reserve.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.requests.append(self.clock.now())
 
     def spend(self) -> bool:
-        """Take one retry out of the budget; tell whether there was one."""
+        """Take one retry out of the budget; return whether it had one."""
         now = self.clock.now()
         self.drop(self.requests, now)
         self.drop(self.retries, now)
@@ -51,6 +51,6 @@
         return True
 
     def drop(self, times: deque[float], now: float) -> None:
-        """Forget what is older than the window."""
+        """Drop times that are older than the window."""
         while times and times[0] < now - self.window_ms:
             times.popleft()
--- a/packages/core/src/mountladder/notices/__init__.py
+++ b/packages/core/src/mountladder/notices/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- What backend servers say of themselves in their answers
+# __init__.py -- Notices that backend servers give about themselves in their answers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What backend servers say of themselves in their answers."""
+"""Notices that backend servers give about themselves in their answers."""
--- a/packages/core/src/mountladder/notices/description.py
+++ b/packages/core/src/mountladder/notices/description.py
@@ -1,8 +1,8 @@
-# description.py -- What the log tells of a notice of a backend server
+# description.py -- Log lines about notices of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the log tells of a notice of a backend server."""
+"""Log lines about notices of backend servers."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @singledispatch
 def described(notice: object, before: Shared | None) -> tuple[str, dict[str, object]]:
-    """Return the name of the line that tells of a notice, and its fields.
+    """Return the type and the fields of the log line about a changed notice.
 
     Args:
         notice: The notice.
-        before: What held before it, or None.
+        before: The previous notice of the same kind, or None.
     """
-    raise TypeError(f"no notice for all: {notice!r}")
+    raise TypeError(f"not a shared notice: {notice!r}")
 
 
 @described.register
--- a/packages/core/src/mountladder/notices/leaving.py
+++ b/packages/core/src/mountladder/notices/leaving.py
@@ -1,8 +1,8 @@
-# leaving.py -- That a backend server leaves
+# leaving.py -- Notice that a backend server is leaving
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""That a backend server leaves."""
+"""Notice that a backend server is leaving."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """That a backend server leaves: it is to get no new work, up to its end."""
+    """Notice that a backend server is leaving: it must get no new work until it exits."""
--- a/packages/core/src/mountladder/notices/notice.py
+++ b/packages/core/src/mountladder/notices/notice.py
@@ -1,8 +1,8 @@
-# notice.py -- What an answer says of its backend server
+# notice.py -- Types of notices of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What an answer says of its backend server."""
+"""Types of notices of backend servers."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from mountladder.notices.ratelimit import RateLimit
 from mountladder.notices.rest import Rest
 
-# What concerns all instances, and what concerns the one that is answered only.
+# Shared notices concern all instances; the others concern only the instance that is answered.
 Shared = RateLimit | Leaving
 Notice = Shared | Rest
-# Takes the server, what its answer says of it, and when the request was sent that is answered.
+# Called with the server, the notices in its answer, and when the answered request was sent.
 Heard = Callable[[BackendServer, Sequence[Notice], float], None]
--- a/packages/core/src/mountladder/notices/noticeboard.py
+++ b/packages/core/src/mountladder/notices/noticeboard.py
@@ -1,8 +1,8 @@
-# noticeboard.py -- Takes in what answers say of their backend servers
+# noticeboard.py -- Dispatches the notices in answers of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Takes in what answers say of their backend servers."""
+"""Dispatches the notices in answers of backend servers."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 
 class NoticeBoard:
-    """Takes in what answers say of their servers, and hands each notice to who acts on it.
+    """Passes each notice in an answer to the component that acts on it.
 
     Args:
-        keeper: Keeps the links to the other instances.
-        directory: Which servers there are, and which of them are used.
-        router: Leaves servers alone that ask this instance for rest.
+        keeper: Maintains the links to the other instances.
+        directory: Lists the backend servers and which of them are in use.
+        router: Backs off from servers that ask this instance to.
         clock: The clock.
-        metrics: Where the numbers of servers go.
+        metrics: Reports the numbers of limited and leaving servers.
 
     Attributes:
-        book: What servers say to any instance.
+        book: The shared notices in force.
     """
 
     def __init__(
@@ -55,24 +55,24 @@
         self.exchange = NoticeExchange(keeper, self.book, clock)
 
     def hear(self, server: BackendServer, notices: Sequence[Notice], sent_at: float) -> None:
-        """Take in what an answer says.
+        """Process the notices in an answer.
 
         Args:
             server: The server that answered.
-            notices: What it says of itself.
-            sent_at: When the request was sent that is answered.
+            notices: The notices in its answer.
+            sent_at: When the answered request was sent, in the clock's milliseconds.
         """
         for notice in notices:
             self.take(notice, server, sent_at)
 
     @singledispatchmethod
     def take(self, notice: object, server: BackendServer, sent_at: float) -> None:
-        """Take in one notice.
+        """Process one notice.
 
         Raises:
-            TypeError: It is none.
+            TypeError: It is not a notice.
         """
-        raise TypeError(f"no notice: {notice!r}")
+        raise TypeError(f"not a notice: {notice!r}")
 
     @take.register
     def _(self, notice: RateLimit | Leaving, server: BackendServer, sent_at: float) -> None:
@@ -81,4 +81,4 @@
     @take.register
     def _(self, notice: Rest, server: BackendServer, sent_at: float) -> None:
         self.router.rest(server, notice.for_ms)
-        log_message("server-rests", server=server.name, for_ms=round(notice.for_ms))
+        log_message("server-backoff", server=server.name, for_ms=round(notice.for_ms))
--- a/packages/core/src/mountladder/notices/noticebook.py
+++ b/packages/core/src/mountladder/notices/noticebook.py
@@ -1,8 +1,8 @@
-# noticebook.py -- What backend servers say of themselves to any instance
+# noticebook.py -- Shared notices of backend servers in force
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What backend servers say of themselves to any instance."""
+"""Shared notices of backend servers in force."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 from mountladder.notices.ratelimit import UNLIMITED, RateLimit
 from mountladder.notices.servernotice import ServerNotice
 
-# Whoever hears the same again tells it again after this time, so that instances that judged the
-# order of two answers in different ways come to the same.
+# A notice that answers repeat is announced again after this time, so that instances that ordered
+# two answers differently converge.
 TELL_AGAIN_MS = 5_000.0
-# How many servers are remembered for each kind, about half of all there are to be (2,100); listed
-# servers that leave are remembered beyond that.
+# The maximum number of servers per kind of notice, about half of the 2,100 servers planned for.
+# Listed servers that are leaving are kept beyond that.
 MOST_SERVERS = 1_024
 
 
 class NoticeBook:
-    """What servers say of themselves in their answers to any instance, and what holds of it.
+    """Holds the latest shared notice of each kind and server, from answers to any instance.
 
-    What an answer says goes to all instances at once, and whoever learns by it passes it on. That
-    comes to an end: on each further way a notice is less surely newer than another one, and where
-    neither surely is the same one of the two stays everywhere.
+    A notice in an answer is announced to all instances at once, and an instance for which it is a
+    change forwards it. Forwarding ends: each hop adds to the uncertainty about which of two
+    notices is newer, and where that is uncertain all instances keep the same one of the two.
 
     Args:
         clock: The clock.
-        metrics: Where the numbers of servers go.
+        metrics: Reports the numbers of limited and leaving servers.
 
     Attributes:
-        limits: The rate limit of each server that ever named one, by its name.
-        leaving: The notices of servers that leave, by their names.
-        listed: Returns the names of the servers in the platform's list.
-        on_leaving: Called once it has become known of some server that it leaves.
-        on_news: Called with notices that others should know, and with who told them, or an empty
-            string.
+        limits: The rate limit notice of each server that announced one, by the server's name.
+        leaving: The notices of leaving servers, by the server's name.
+        listed: Returns the names of the servers in the platform's table.
+        on_leaving: Called after a server has newly been found to be leaving.
+        on_news: Called with notices to announce to other instances, and with the name of the peer
+            that sent them, or an empty string.
     """
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
@@ -62,44 +62,44 @@
         self.on_news: Callable[[Sequence[ServerNotice], str], None] = lambda news, source: None
 
     def per_s(self, server: str) -> float:
-        """Return how many requests a second a server takes from all instances, or UNLIMITED."""
+        """Return a server's rate limit over all instances, in requests a second, or UNLIMITED."""
         known = self.limits.get(server)
         return known.notice.per_s if known is not None else UNLIMITED
 
     def leaving_since(self, server: str) -> float | None:
-        """Return when a server first said that it leaves, as far as is known here, or None."""
+        """Return when a server was first seen to be leaving, or None if it is not."""
         known = self.leaving.get(server)
         return known.seen_at if known is not None else None
 
     def all(self) -> list[ServerNotice]:
-        """Return all notices that hold."""
+        """Return all notices in force."""
         return [one for kind in self.kinds.values() for one in kind.values()]
 
     def known(self, told: ServerNotice) -> ServerNotice | None:
-        """Return what is known of the kind of a notice, of its server."""
+        """Return the notice in force of the same kind and server, or None."""
         return self.kinds[type(told.notice)].get(told.server)
 
     def hear(self, server: BackendServer, notice: Shared, sent_at: float) -> None:
-        """Take in what an answer of a server says.
+        """Apply a notice in an answer of a server, and announce it where others need it.
 
         Args:
             server: The server.
-            notice: What it says.
-            sent_at: When the request was sent that is answered.
+            notice: The notice.
+            sent_at: When the answered request was sent, in the clock's milliseconds.
         """
         now = self.clock.now()
         told = ServerNotice(server.name, notice, sent_at, now)
         known = self.known(told)
         if not self.is_news(told):
             return
-        self.put(told, "an answer")
+        self.put(told, "answer")
         is_due = now - self.told_at.get(server.name, now) >= TELL_AGAIN_MS
         if known is None or differs(notice, known.notice) or is_due:
             self.told_at[server.name] = now
             self.on_news([told], "")
 
     def take(self, notices: Sequence[ServerNotice], source: str) -> None:
-        """Take in what a peer tells, and pass on what is news; source is the peer's name."""
+        """Merge the notices of a peer, given its name, and forward those that are changes."""
         news = [one for one in notices if self.is_news(one)]
         changes = [one for one in news if self.is_change(one)]
         for one in news:
@@ -108,19 +108,19 @@
             self.on_news(changes, source)
 
     def is_news(self, told: ServerNotice) -> bool:
-        """Tell whether a notice that was told is to hold."""
+        """Return whether a notice replaces the one in force."""
         known = self.known(told)
         if known is None:
             return not is_usual(told.notice)
         return replaces(told.notice, told, known)
 
     def is_change(self, told: ServerNotice) -> bool:
-        """Tell whether a notice says so much else than what is known that others should know."""
+        """Return whether a notice differs enough from the one in force to be announced."""
         known = self.known(told)
         return known is None or differs(told.notice, known.notice)
 
     def put(self, told: ServerNotice, source: str) -> None:
-        """Let a notice hold, and log what has changed for its server."""
+        """Put a notice in force, and log a change."""
         known = self.known(told)
         self.kinds[type(told.notice)][told.server] = told
         if known is not None and known.notice == told.notice:
@@ -135,13 +135,13 @@
             self.on_leaving()
 
     def count(self) -> None:
-        """Tell how many servers limit what they take, and how many leave."""
+        """Report the numbers of limited and leaving servers."""
         limited = sum(not is_usual(one.notice) for one in self.limits.values())
         self.metrics.gauge(Metric.LIMITED_SERVERS, limited)
         self.metrics.gauge(Metric.LEAVING_SERVERS, len(self.leaving))
 
     def forget_old(self, kind: dict[str, ServerNotice]) -> None:
-        """Forget servers of which nothing was heard for long, and the oldest of too many."""
+        """Drop notices past their retention time, or else the oldest of too many."""
         now, listed = self.clock.now(), self.listed()
         until = {
             name: one.seen_at + kept_ms(one.notice, name in listed) for name, one in kind.items()
--- a/packages/core/src/mountladder/notices/noticeexchange.py
+++ b/packages/core/src/mountladder/notices/noticeexchange.py
@@ -1,8 +1,8 @@
-# noticeexchange.py -- Telling the other instances what backend servers said
+# noticeexchange.py -- Exchanges notices of backend servers between instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Telling the other instances what backend servers said."""
+"""Exchanges notices of backend servers between instances."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class NoticeExchange(NewsExchange[ServerNotice]):
-    """Keeps the books of what servers said of all instances alike.
+    """Keeps the notices in force the same at all instances.
 
     Args:
-        keeper: Keeps the links to the other instances.
-        book: This instance's book.
+        keeper: Maintains the links to the other instances.
+        book: The notices in force at this instance.
         clock: The clock.
     """
 
@@ -35,9 +35,9 @@
         return self.book.all()
 
     def as_ages(self, entry: ServerNotice, now: float) -> ServerNotice:
-        """Return a notice as it is told; see NewsExchange."""
+        """Return a notice in the form in which it is sent; see NewsExchange."""
         return entry.as_ages(now)
 
     def take_in(self, entries: Sequence[ServerNotice], now: float, source: str) -> None:
-        """Take in notices; see NewsExchange."""
+        """Merge notices from a peer; see NewsExchange."""
         self.book.take([one.told(now) for one in entries], source)
--- a/packages/core/src/mountladder/notices/precedence.py
+++ b/packages/core/src/mountladder/notices/precedence.py
@@ -1,8 +1,8 @@
-# precedence.py -- Which of two notices of a backend server holds
+# precedence.py -- Decides which of two notices of a backend server is in force
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which of two notices of a backend server holds."""
+"""Decides which of two notices of a backend server is in force."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 from mountladder.notices.ratelimit import UNLIMITED, RateLimit
 from mountladder.notices.servernotice import ServerNotice
 
-# A limit that moves by less than this part is not worth a message to all instances.
+# A limit that changes by no more than this fraction is not worth a message to all instances.
 TOLD_CHANGE = 0.1
-# A notice of which nothing was heard for so long is one of a server that has gone, or that nobody
-# has asked for anything. That a limit has ended is remembered for as long as answers may be late.
+# A notice that was not repeated for this long is of a server that is gone or gets no requests. A
+# lifted limit is kept for a shorter time, for as long as older answers may still arrive.
 FORGET_MS = 600_000.0
 FORGET_END_MS = 60_000.0
 
 
 @singledispatch
 def replaces(notice: object, told: ServerNotice, known: ServerNotice) -> bool:
-    """Tell whether what was told is to hold in place of what is known of the same kind.
+    """Return whether a received notice replaces the one in force of the same kind.
 
     Args:
-        notice: What was told.
-        told: The same, with its times.
-        known: What is known.
+        notice: The received notice.
+        told: The received notice with its times.
+        known: The notice in force.
     """
-    raise TypeError(f"no notice for all: {notice!r}")
+    raise TypeError(f"not a shared notice: {notice!r}")
 
 
 @replaces.register
 def _(notice: RateLimit, told: ServerNotice, known: ServerNotice) -> bool:
-    # Where it is open which is newer the lower limit holds: the next answer tells, and a server in
-    # need is spared until then.
+    # Where it is uncertain which notice is newer, the lower limit wins: it protects an overloaded
+    # server until the next answer decides.
     is_lower = notice.per_s < known.notice.per_s
     return told.is_newer(known) or (is_lower and told.seen_at > known.sent_at)
 
 
 @replaces.register
 def _(notice: Leaving, told: ServerNotice, known: ServerNotice) -> bool:
-    # Nothing ends it but a later start, which has another name.
+    # Leaving is final: the server has another name after its next start.
     return False
 
 
 @singledispatch
 def differs(notice: object, known: object) -> bool:
-    """Tell whether a notice differs so much from the one before that all are told at once."""
-    raise TypeError(f"no notice for all: {notice!r}")
+    """Return whether a notice differs enough from the previous one to be announced at once."""
+    raise TypeError(f"not a shared notice: {notice!r}")
 
 
 @differs.register
@@ -67,13 +67,13 @@
 
 @singledispatch
 def kept_ms(notice: object, is_listed: bool) -> float:
-    """Return for how long a notice is remembered of which nothing more is heard, in milliseconds.
+    """Return for how long a notice is kept that is not repeated, in milliseconds.
 
     Args:
         notice: The notice.
-        is_listed: Whether its server is in the platform's list.
+        is_listed: Whether its server is in the platform's table.
     """
-    raise TypeError(f"no notice for all: {notice!r}")
+    raise TypeError(f"not a shared notice: {notice!r}")
 
 
 @kept_ms.register
@@ -83,13 +83,13 @@
 
 @kept_ms.register
 def _(notice: Leaving, is_listed: bool) -> float:
-    # An entry that was removed may come back, while the server lives on.
+    # The server's row may be removed and added again while the server keeps running.
     return math.inf if is_listed else FORGET_MS
 
 
 @singledispatch
 def is_usual(notice: object) -> bool:
-    """Tell whether a notice says of a server what holds for one of which nothing is known."""
+    """Return whether a notice equals the default of a server without notices."""
     return False
 
 
--- a/packages/core/src/mountladder/notices/rest.py
+++ b/packages/core/src/mountladder/notices/rest.py
@@ -1,8 +1,8 @@
-# rest.py -- That a backend server wants no requests for some time
+# rest.py -- Notice that asks one instance to back off from a backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""That a backend server wants no requests for some time."""
+"""Notice that asks one instance to back off from a backend server."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rest:
-    """That a backend server wants no requests from the instance it answers, for some time.
+    """Notice that a backend server wants no requests from the answered instance for a time.
 
     Attributes:
-        for_ms: For how long, from its answer on, in milliseconds.
+        for_ms: The length of the back-off, from the answer on, in milliseconds.
     """
 
     for_ms: float
--- a/packages/core/src/mountladder/notices/servernotices.py
+++ b/packages/core/src/mountladder/notices/servernotices.py
@@ -1,8 +1,8 @@
-# servernotices.py -- Telling what backend servers said
+# servernotices.py -- Message with notices of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Telling what backend servers said."""
+"""Message with notices of backend servers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerNotices:
-    """Telling what backend servers said of themselves.
+    """Message that announces notices of backend servers to another instance.
 
     Attributes:
-        entries: What they said, with times before now, so below zero.
+        entries: The notices, with times relative to the sending, so negative.
     """
 
     entries: tuple[ServerNotice, ...]
--- a/packages/core/src/mountladder/routing/__init__.py
+++ b/packages/core/src/mountladder/routing/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Which backend server a call is sent to
+# __init__.py -- Chooses the backend server for each call
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which backend server a call is sent to."""
+"""Chooses the backend server for each call."""
--- a/packages/core/src/mountladder/routing/breaker.py
+++ b/packages/core/src/mountladder/routing/breaker.py
@@ -1,8 +1,8 @@
-# breaker.py -- A circuit breaker
+# breaker.py -- Circuit breaker of a backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A circuit breaker."""
+"""Circuit breaker of a backend server."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 
 
 class Breaker:
-    """Takes a backend server out of use after failures, and lets single calls try it again.
+    """Ejects a backend server after consecutive failures, then lets single calls probe it.
+
+    The open period doubles with each failed probe, up to a maximum.
 
     Args:
-        rng: The source of jitter.
+        rng: The source of jitter, which keeps instances from probing at the same moment.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -28,27 +30,27 @@
         self.trying = False
 
     def allows(self, now: float) -> bool:
-        """Tell whether a call may be sent at a time."""
+        """Return whether a call may be sent at a time."""
         if self.failures < FAILURES_TO_OPEN:
             return True
         return now >= self.open_until and not self.trying
 
     def begin(self) -> None:
-        """Record that a call is sent."""
+        """Record that a call is sent; it is a probe where the breaker has opened."""
         self.trying = self.failures >= FAILURES_TO_OPEN
 
     def succeed(self) -> None:
-        """Record a success, which closes the breaker."""
+        """Record a success, which closes the breaker and resets the open period."""
         self.failures = 0
         self.pause_ms = FIRST_PAUSE_MS
         self.trying = False
 
     def abandon(self) -> None:
-        """Record a call that ended without telling anything about the server."""
+        """Record the end of a call whose outcome says nothing about the server's health."""
         self.trying = False
 
     def fail(self, now: float) -> bool:
-        """Record a failure; tell whether it opened the breaker anew."""
+        """Record a failure; return whether it opened the breaker."""
         self.failures += 1
         self.trying = False
         if self.failures < FAILURES_TO_OPEN:
@@ -58,6 +60,6 @@
         return True
 
     def trip(self, now: float) -> None:
-        """Record a failure that takes the server out of use at once, such as silence."""
+        """Record a failure that opens the breaker at once, such as a failed connection."""
         self.failures = max(self.failures, FAILURES_TO_OPEN - 1)
         self.fail(now)
--- a/packages/core/src/mountladder/routing/candidate.py
+++ b/packages/core/src/mountladder/routing/candidate.py
@@ -1,8 +1,8 @@
-# candidate.py -- A backend server that may be chosen
+# candidate.py -- Backend server considered for a call, with its expected time and cost
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A backend server that may be chosen."""
+"""Backend server considered for a call, with its expected time and cost."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A usable backend server and what choosing it is expected to mean.
+    """A usable backend server with the expected time and cost of a call there.
 
     Attributes:
-        state: What the instance knows of the server.
-        unloaded_ms: The learnt time of this call there without any load.
-        crowding: By how much the load it is believed to have lengthens the call.
-        slowness: By how much it is slower than others of its accelerator.
-        delay_ms: What the way to another data centre adds.
+        state: The instance's view of the server.
+        unloaded_ms: The learnt time of this call on the unloaded server, in milliseconds.
+        crowding: The factor by which its estimated load lengthens the call, at least 1.
+        slowness: The ratio of its observed to its expected call times, at least 1.
+        delay_ms: The time that a call to another data centre adds, in milliseconds.
     """
 
     state: ServerState
@@ -33,16 +33,16 @@
     def at(
         cls, state: ServerState, unloaded_ms: float, now: float, delay_ms: float = 0.0
     ) -> Candidate:
-        """Return a candidate as it is believed to be at a time."""
+        """Return a candidate with the server's estimated load and slowness at a time."""
         crowding, slowness = state.crowding(now), state.slowness_at(now)
         return cls(state, unloaded_ms, crowding, slowness, delay_ms)
 
     @property
     def expected_ms(self) -> float:
-        """Return the expected time to completion under the load it is believed to have."""
+        """Return the expected time to completion under its estimated load, in milliseconds."""
         return self.unloaded_ms * self.crowding * self.slowness + self.delay_ms
 
     @property
     def cost(self) -> float:
-        """Return what the call is expected to cost, in the operator's unit."""
+        """Return the expected cost of the call, in the operator's unit."""
         return self.unloaded_ms * self.slowness * self.state.server.price
--- a/packages/core/src/mountladder/routing/choice.py
+++ b/packages/core/src/mountladder/routing/choice.py
@@ -1,8 +1,8 @@
-# choice.py -- A routing decision
+# choice.py -- Result of choosing a backend server for an attempt
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A routing decision."""
+"""Result of choosing a backend server for an attempt."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A backend server chosen for an attempt.
+    """The backend server chosen for an attempt, with the estimates behind the choice.
 
     Attributes:
-        state: What the instance knows of the server.
-        expected_ms: The expected time to completion.
-        unloaded_ms: The expected time without load.
-        crowding: By how much the load it is believed to have lengthens the call.
-        allowed: How many servers the selectors allow.
-        compared: How many usable ones were compared.
+        state: The instance's view of the server.
+        expected_ms: The expected time to completion, in milliseconds.
+        unloaded_ms: The expected time on the unloaded server, in milliseconds.
+        crowding: The factor by which its estimated load lengthens the call, at least 1.
+        allowed: The number of servers that the selectors allow.
+        compared: The number of usable servers that were compared.
     """
 
     state: ServerState
@@ -34,7 +34,7 @@
 
     @classmethod
     def of(cls, chosen: Candidate, allowed: int, compared: int) -> Choice:
-        """Return the decision for a candidate out of so many."""
+        """Return the choice of a candidate, given the numbers of servers allowed and compared."""
         return cls(
             chosen.state,
             chosen.expected_ms,
@@ -45,8 +45,8 @@
         )
 
     def reason(self) -> str:
-        """Return why the server was chosen, in words."""
+        """Return why the server was chosen, for the request's trace."""
         return (
-            f"expected {self.expected_ms:.0f} ms, crowding {self.crowding:.1f}, "
+            f"expected {self.expected_ms:.0f} ms, load factor {self.crowding:.1f}, "
             f"{self.compared} of {self.allowed} allowed servers compared"
         )
--- a/packages/core/src/mountladder/routing/costmodel.py
+++ b/packages/core/src/mountladder/routing/costmodel.py
@@ -1,8 +1,8 @@
-# costmodel.py -- The learnt time of a stage
+# costmodel.py -- Learns how long stages take on unloaded servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The learnt time of a stage."""
+"""Learns how long stages take on unloaded servers."""
 
 from __future__ import annotations
 
@@ -18,9 +18,16 @@
 class CostModel:
     """Learns how long a stage takes on an unloaded server, by accelerator and input length.
 
-    Input lengths fall into classes that double in length. A class that was never seen on an
-    accelerator takes the value of the nearest one that was, scaled as another accelerator that
-    has seen both tells.
+    Input lengths are grouped into classes of powers of two. A class without measurements on an
+    accelerator takes the time of the nearest class that has some, scaled by the ratio of the two
+    classes on another accelerator, where one has measurements of both.
+
+    Attributes:
+        means: The smoothed unloaded times in milliseconds, by length class, for each work, model
+            and accelerator.
+        gaps: The smoothed unloaded time between two tokens in milliseconds, by model and
+            accelerator.
+        histograms: The total times of each pipeline's stages, queueing and retries included.
     """
 
     def __init__(self) -> None:
@@ -29,23 +36,23 @@
         self.histograms: dict[tuple[str, str], Histogram] = {}
 
     def record(self, stage: Stage, accelerator: str, length: int, unloaded_ms: float) -> None:
-        """Learn from one call, its time corrected for the load it met.
+        """Update the expected time from one call, its time already corrected for load.
 
-        What is not known of the load makes calls look slow and never fast, so that a shorter time
-        counts for more than a longer one.
+        Load that the instance does not know of makes calls look slower but never faster, so a
+        shorter time gets a higher weight than a longer one.
         """
         classes = self.means.setdefault((stage.work, stage.model, accelerator), {})
         size = _size(length)
         classes[size] = _follow(classes.get(size), unloaded_ms)
 
     def gap(self, stage: Stage, accelerator: str, gap_ms: float) -> float:
-        """Learn from the time between two tokens; return what it is without load."""
+        """Update the unloaded time between two tokens from a measurement; return the new value."""
         key = (stage.model, accelerator)
         gap = self.gaps[key] = _follow(self.gaps.get(key), gap_ms)
         return gap
 
     def record_whole(self, pipeline: str, stage: Stage, elapsed_ms: float) -> None:
-        """Learn how long a stage took in all, queueing and retries included."""
+        """Record the total time of a stage, queueing and retries included."""
         key = (pipeline, stage.name)
         histogram = self.histograms.get(key)
         if histogram is None:
@@ -62,7 +69,7 @@
         return self.scaled(stage, classes, size) if value is None else value
 
     def scaled(self, stage: Stage, classes: dict[int, float], size: int) -> float:
-        """Return the time of a class that was never seen on an accelerator."""
+        """Return the expected time of a length class without measurements on an accelerator."""
         nearest = min(classes, key=lambda known: abs(known - size))
         for (work, model, _), others in self.means.items():
             if (work, model) == (stage.work, stage.model) and {nearest, size} <= others.keys():
@@ -70,16 +77,17 @@
         return classes[nearest]
 
     def record_failure(self, stage: Stage, accelerator: str, length: int, spent_ms: float) -> None:
-        """Learn from a call that took too long: its whole time would have been longer still.
+        """Raise the expected time after a call that was cut off for taking too long.
 
-        What is known only to be longer is taken over at once, since such calls tell nothing more.
+        The time spent is only a lower bound. It is adopted at once and raised by a fifth, since
+        calls that are cut off never report their full time.
         """
         if spent_ms > self.expected(stage, accelerator, length):
             classes = self.means.setdefault((stage.work, stage.model, accelerator), {})
             classes[_size(length)] = spent_ms * LONGER
 
     def any_accelerator(self, stage: Stage, length: int) -> float:
-        """Return the least time known on any accelerator, so that a new one is tried."""
+        """Return the shortest time known on any accelerator, so that a new one gets tried."""
         size = _size(length)
         known = [
             classes[min(classes, key=lambda one: abs(one - size))]
--- a/packages/core/src/mountladder/routing/estimate.py
+++ b/packages/core/src/mountladder/routing/estimate.py
@@ -1,8 +1,8 @@
-# estimate.py -- The expected time of a whole request
+# estimate.py -- Estimates the time of a whole request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The expected time of a whole request."""
+"""Estimates the time of a whole request."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """The expected time of a whole request.
+    """The expected time of a whole request, with and without the present load.
 
     Attributes:
-        expected_ms: Under the present load, in milliseconds.
-        unloaded_ms: The same on servers that run nothing else.
+        expected_ms: The time under the present load, in milliseconds.
+        unloaded_ms: The time on unloaded servers, in milliseconds.
     """
 
     expected_ms: float
@@ -32,15 +32,15 @@
 
     @property
     def crowded_ms(self) -> float:
-        """Return the part of the time that is due to the load."""
+        """Return the share of the time that is due to load, in milliseconds."""
         return self.expected_ms - self.unloaded_ms
 
 
 def estimate(context: RunContext, request: Request) -> Estimate:
     """Return the expected time of a request.
 
-    The stages of one group run side by side, so the slowest counts; groups follow each other. A
-    stage without any usable server counts as nothing, since its error tells more.
+    The stages of one group run in parallel, so the slowest one counts; groups run in sequence. A
+    stage without a usable server counts as 0, since running it reports the specific error.
     """
     length = len(request.input)
     expected = unloaded = 0.0
--- a/packages/core/src/mountladder/routing/expectedcompletion.py
+++ b/packages/core/src/mountladder/routing/expectedcompletion.py
@@ -1,8 +1,8 @@
-# expectedcompletion.py -- The policy of expected completion
+# expectedcompletion.py -- Routing policy: least expected completion time
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The policy of expected completion."""
+"""Routing policy: least expected completion time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedCompletion:
-    """Choose by the expected time to completion, and by cost where time allows.
+    """Chooses by expected completion time, and by cost where the time budget allows.
 
     Attributes:
-        drawn: How many candidates are drawn and compared.
-        thrift: From 0 to 1, the part of the time available that may be used up to save cost. At 0
+        drawn: The number of candidates that are sampled and compared.
+        thrift: The fraction of the time budget, from 0 to 1, that may be spent to save cost. At 0
             the fastest candidate is chosen; at 1 the cheapest that is expected to be in time.
     """
 
--- a/packages/core/src/mountladder/routing/leastoutstanding.py
+++ b/packages/core/src/mountladder/routing/leastoutstanding.py
@@ -1,8 +1,8 @@
-# leastoutstanding.py -- The policy of least outstanding calls
+# leastoutstanding.py -- Routing policy: fewest outstanding calls
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The policy of least outstanding calls."""
+"""Routing policy: fewest outstanding calls."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastOutstanding:
-    """Choose the candidate with the fewest calls of this instance in flight."""
+    """Chooses the candidate with the fewest calls of this instance in flight."""
--- a/packages/core/src/mountladder/routing/nearby.py
+++ b/packages/core/src/mountladder/routing/nearby.py
@@ -1,8 +1,8 @@
-# nearby.py -- Which backend servers stand in the instance's own data centre
+# nearby.py -- Splits backend servers into local and remote ones
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which backend servers stand in the instance's own data centre."""
+"""Splits backend servers into local and remote ones."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 
 
 class Nearby:
-    """Parts allowed servers into those of a data centre and the others.
+    """Splits servers into those of the instance's data centre and those of others.
 
-    The parts of a sequence are kept, since a configuration gives the same one again and again.
+    Results are cached by the identity of the sequence, since a configuration returns the same
+    sequence for each call of a stage.
 
     Args:
-        datacentre: The data centre, or an empty string where every server counts as near.
+        datacentre: The instance's data centre, or an empty string to treat every server as local.
     """
 
     def __init__(self, datacentre: str) -> None:
@@ -28,11 +29,11 @@
         self.known: dict[int, tuple[Sequence[BackendServer], Servers, Servers]] = {}
 
     def is_near(self, server: BackendServer) -> bool:
-        """Tell whether a server stands in the data centre."""
+        """Return whether a server is in the instance's data centre."""
         return not self.datacentre or server.datacentre == self.datacentre
 
     def part(self, allowed: Sequence[BackendServer]) -> tuple[Servers, Servers]:
-        """Return the servers of the data centre and the others."""
+        """Return the local and the remote servers."""
         entry = self.known.get(id(allowed))
         if entry is None or entry[0] is not allowed:
             near = tuple(server for server in allowed if self.is_near(server))
--- a/packages/core/src/mountladder/routing/pace.py
+++ b/packages/core/src/mountladder/routing/pace.py
@@ -1,8 +1,8 @@
-# pace.py -- The time between the tokens of a running stream
+# pace.py -- Measures the time between the tokens of a running stream
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The time between the tokens of a running stream."""
+"""Measures the time between the tokens of a running stream."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Pace:
-    """Measures a stream's pace and tells the router now and then.
+    """Measures the mean time between a stream's tokens and reports it to the router.
 
-    A running stream tells how crowded its server is at present, long before it ends and without
-    the lag of load reports.
+    The interval shows the server's present load long before the stream ends, and without the
+    delay of load reports.
 
     Args:
-        context: What runs share.
+        context: The dependencies that all runs share.
         attempt: The attempt whose stream is measured.
     """
 
@@ -31,7 +31,7 @@
         self.tokens = 0
 
     def take(self, chunk: Chunk) -> None:
-        """Take in a chunk; the first one only starts the measurement."""
+        """Count a chunk's tokens; the first chunk only starts the measurement."""
         now = self.context.clock.now()
         if self.since is None:
             self.since = now
--- a/packages/core/src/mountladder/routing/policy.py
+++ b/packages/core/src/mountladder/routing/policy.py
@@ -1,8 +1,8 @@
-# policy.py -- Choosing among candidates
+# policy.py -- Chooses among candidates by a routing policy
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Choosing among candidates."""
+"""Chooses among candidates by a routing policy."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
     Args:
         policy: The policy, one of Policy.
         candidates: At least one candidate.
-        budget_ms: The time that the stage may take.
-        turn: A number that grows by one with every choice.
-        rng: The source of chance.
+        budget_ms: The time that the stage may take, in milliseconds.
+        turn: A counter that grows by one with every choice, used by round robin.
+        rng: The source of randomness.
 
     Returns:
         The chosen candidate.
 
     Raises:
-        TypeError: The policy is not known.
+        TypeError: The policy is unknown.
     """
     raise TypeError(f"unknown policy {policy!r}")
 
 
 def sample_size(policy: Policy, candidates: int) -> int:
-    """Return how many candidates a policy has to look at."""
+    """Return the number of candidates that a policy has to compare."""
     if isinstance(policy, ExpectedCompletion):
         return min(policy.drawn, candidates)
     return candidates
--- a/packages/core/src/mountladder/routing/promptchoice.py
+++ b/packages/core/src/mountladder/routing/promptchoice.py
@@ -1,8 +1,8 @@
-# promptchoice.py -- The model server chosen for a prompt
+# promptchoice.py -- Result of choosing a model server for a prompt
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The model server chosen for a prompt."""
+"""Result of choosing a model server for a prompt."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptChoice:
-    """The model server chosen for a prompt.
+    """The model server chosen for a prompt, and how its cache is to be filled.
 
     Attributes:
-        choice: The server, and why it was chosen.
-        plan: How it comes by the prompt.
+        choice: The chosen server, with the estimates behind the choice.
+        plan: Which tokens the server reads and which it fetches from another one.
     """
 
     choice: Choice
--- a/packages/core/src/mountladder/routing/promptplacement.py
+++ b/packages/core/src/mountladder/routing/promptplacement.py
@@ -1,8 +1,8 @@
-# promptplacement.py -- Which model server holds which parts of prompts
+# promptplacement.py -- Places prompts on model servers by cached prefixes and expected time
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which model server holds which parts of prompts."""
+"""Places prompts on model servers by cached prefixes and expected time."""
 
 from __future__ import annotations
 
@@ -25,38 +25,40 @@
 from mountladder.routing.serverstate import ServerState
 from mountladder.routing.serverwish import ServerWish
 
-# The least time to a first token: a step or two of the engines in use, 3 to 6 ms each.
+# The minimum time to a first token: one or two steps of an engine, which take 3 to 6 ms each.
 FIRST_TOKEN_MS = 10.0
-# Reading parts again that some server keeps takes time from other prompts and is paid for, so that
-# it weighs this many times more than its own time.
+# Recomputing parts that some server has cached delays other prompts and is paid for, so it is
+# weighted by this multiple of its own time.
 READ_AGAIN = 10.0
-# Fetching kept parts is paid for by the byte, about a tenth of what reading them again costs.
+# Fetching cached parts from another server is paid for by the byte, at about a tenth of the cost
+# of recomputing them.
 FETCH = 3.0
-# How many parts are remembered for each server; a part that was not used for long is likely gone.
+# How many parts are tracked per server; one that was not used for long is likely evicted there.
 PARTS_KEPT = 512
-# What fetching large results from another data centre is taken to cost.
+# The assumed time of fetching large results from another data centre.
 FAR_MS = 250.0
-# A cold server is taken to need this many times as long until its own answers tell: it is slow for
-# some seconds (the users' pages give no figure), and one that is as fast loses little by it.
+# A server that has just started is assumed to take this many times as long until its own answers
+# show its speed: it is slow for some seconds, by a factor that is not known beforehand, and
+# overestimating a fast one costs little.
 COLD_SLOWNESS = 2.0
 
 
 class PromptPlacement:
-    """Chooses model servers by what their caches hold and how much they have to read.
+    """Chooses model servers by their cached prompt parts and their backlog of tokens to read.
 
-    Prompts share parts, and a part is cached where it was read last. All instances place a prompt
-    that none of them knows by the same hash of its last shared part, so that they agree on a
-    server without talking.
+    Prompts share parts, and a part is cached on the server that read it last. A prompt whose
+    parts no instance has seen is placed by rendezvous hashing of its last shared part, so that
+    all instances choose the same server without exchanging messages.
 
     Args:
         clock: The clock.
-        router: What is known of each server.
+        router: Holds the state of each server.
 
     Attributes:
-        held: The parts that each server was sent, the latest last.
-        reading: How many tokens each server has to read yet.
-        running: How many prompts are at each server.
-        speed: How fast servers read.
+        held: The ids of the parts sent to each server, in order of use, the latest last.
+        reading: The number of tokens that each server has yet to read, by its name.
+        running: The number of prompts at each server, by its name.
+        speed: The learnt speed at which servers read prompts.
     """
 
     def __init__(self, clock: Clock, router: Router) -> None:
@@ -78,15 +80,15 @@
         """Return the server with the least expected time to the first token, or None.
 
         Args:
-            servers: The servers that may be used.
+            servers: The servers that may be chosen.
             prompt: The prompt.
-            wish: What the request wants of its server.
-            transfer: What moving kept parts between servers takes, where they can.
-            restraints: Which servers are slow, and which a request has to wait for.
+            wish: The request's constraints on the server.
+            transfer: The time of moving cached parts between servers, or None where they cannot.
+            restraints: The servers that have just started, and the waits for rate-limited ones.
         """
         now = self.clock.now()
         states = [self.router.state(one) for one in servers if one.name not in wish.excluded]
-        # Who must leave a server alone for a rest that it asked for excludes it by the wish.
+        # An instance that a server has asked to back off excludes that server in its request.
         usable = [one for one in states if one.in_use(now)]
         waits_ms = restraints.waits_ms
         soonest = _soonest(usable, waits_ms, wish.patience_ms)
@@ -114,14 +116,14 @@
         source: ServerState,
         transfer: PromptTransfer | None,
     ) -> ReadingPlan:
-        """Return how a server would come by a prompt.
+        """Return which tokens a server would read and which it would fetch for a prompt.
 
         Args:
             state: The server.
             prompt: The prompt.
-            kept: How many of its tokens each server keeps, by the server's name.
-            source: The server that keeps most.
-            transfer: What fetching them from there takes, where that can be done.
+            kept: How many of the prompt's tokens each server has cached, by the server's name.
+            source: The server with the most cached tokens.
+            transfer: The time of fetching them from there, or None where that cannot be done.
         """
         here, there = kept[state.server.name], kept[source.server.name]
         own = prompt.parts[-1].tokens if prompt.parts else prompt.tokens
@@ -145,7 +147,9 @@
         restraints: Restraints,
         now: float,
     ) -> float:
-        """Return what a server costs a prompt: its time to the first token and what is paid."""
+        """Return a server's weighted time to the first token of a prompt, in milliseconds.
+
+        Reading that another server could have avoided, and fetches, are weighted by their price."""
         name = state.server.name
         again = plan.again if first else plan.again + plan.unknown
         tokens = plan.read + again * (READ_AGAIN - 1.0) + self.reading[name]
@@ -158,7 +162,7 @@
         return expected * slower + restraints.waits_ms.get(name, 0.0)
 
     def kept(self, state: ServerState, prompt: Prompt) -> int:
-        """Return how many tokens of a prompt's shared parts a server is believed to keep."""
+        """Return how many tokens of a prompt's shared prefix a server probably has cached."""
         held = self.held.get(state.server.name, {})
         kept = 0
         for part in prompt.parts[:-1]:
@@ -168,7 +172,7 @@
         return kept
 
     def began(self, server: str, prompt: Prompt, read: int) -> None:
-        """Record that a server begins to read some tokens of a prompt."""
+        """Record that a server starts a prompt of which it has to read a number of tokens."""
         held = self.held.setdefault(server, OrderedDict())
         for part in prompt.parts:
             held[part.id] = None
@@ -179,13 +183,13 @@
         self.running[server] += 1
 
     def read(self, server: str, tokens: int) -> None:
-        """Record that a server has read some tokens, or is not reading them any more."""
+        """Remove tokens from a server's backlog, since it has read them or will not read them."""
         self.reading[server] -= tokens
         if self.reading[server] <= 0:
             del self.reading[server]
 
     def ended(self, server: str) -> None:
-        """Record that a server is done with a prompt."""
+        """Record that a server has finished a prompt."""
         self.running[server] -= 1
         if self.running[server] <= 0:
             del self.running[server]
--- a/packages/core/src/mountladder/routing/randomchoice.py
+++ b/packages/core/src/mountladder/routing/randomchoice.py
@@ -1,8 +1,8 @@
-# randomchoice.py -- The policy that chooses at random
+# randomchoice.py -- Routing policy: uniform random choice
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The policy that chooses at random."""
+"""Routing policy: uniform random choice."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
 
 @dataclass(frozen=True, slots=True)
 class RandomChoice:
-    """Choose any candidate with equal chance."""
+    """Chooses any candidate with equal probability."""
--- a/packages/core/src/mountladder/routing/readingplan.py
+++ b/packages/core/src/mountladder/routing/readingplan.py
@@ -1,8 +1,8 @@
-# readingplan.py -- How a model server would come by a prompt
+# readingplan.py -- Split of a prompt into tokens to read and tokens to fetch
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How a model server would come by a prompt."""
+"""Split of a prompt into tokens to read and tokens to fetch."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadingPlan:
-    """How a model server would come by a prompt.
+    """Which tokens of a prompt a model server would read and which it would fetch.
 
     Attributes:
-        read: How many tokens it would read.
-        again: How many of them another server keeps.
-        unknown: How many of them are shared, and kept by no server as far as is known.
-        fetch_ms: How long it would fetch kept tokens from another server, in milliseconds.
-        source: The address of that server, or empty.
+        read: The number of tokens that it would read (prefill).
+        again: How many of these another server has cached.
+        unknown: How many of these belong to shared parts that no server is known to have cached.
+        fetch_ms: The time of fetching cached tokens from another server, in milliseconds.
+        source: The address of that server, or an empty string.
     """
 
     read: int
--- a/packages/core/src/mountladder/routing/readingspeed.py
+++ b/packages/core/src/mountladder/routing/readingspeed.py
@@ -1,36 +1,40 @@
-# readingspeed.py -- How fast model servers read prompts
+# readingspeed.py -- Learns how fast model servers read prompts
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How fast model servers read prompts."""
+"""Learns how fast model servers read prompts."""
 
 from __future__ import annotations
 
-# What is assumed before anything was read: engines in use read 38 to 61 tokens a millisecond, of
-# which part goes to the streams beside.
+# The initial assumption: engines read 38 to 61 tokens a millisecond, and concurrent streams take a
+# share of that.
 FIRST_TOKENS_PER_MS = 40.0
-# The middle of what is seen is followed by steps up and down of this part: from a prior that is
-# wrong by half it takes some thirty prompts, a few seconds at one instance for all.
+# The running median moves up or down by this fraction per measurement: an initial value that is
+# wrong by half is corrected after about 30 prompts, a few seconds where one instance places all.
 STEP = 0.02
-# Shorter reads tell more of the step under way than of the speed.
+# The time of a shorter read depends more on the engine's current step than on the reading speed.
 LEAST_TOKENS = 1_000
 
 
 class ReadingSpeed:
     """Learns how many prompt tokens a server of one service reads in a millisecond.
 
-    It is the middle of what is seen, with the work of other streams beside, so that estimates
-    come true half of the time.
+    The speed is the running median of the measurements, which include the effect of concurrent
+    streams, so that half of the estimates are met.
 
     Attributes:
-        tokens_per_ms: The speed.
+        tokens_per_ms: The learnt speed.
     """
 
     def __init__(self) -> None:
         self.tokens_per_ms = FIRST_TOKENS_PER_MS
 
     def learn(self, tokens: int, elapsed_ms: float) -> None:
-        """Learn from the time that a server took for some tokens, those ahead included."""
+        """Update the speed from the time that a server took for some tokens.
+
+        Args:
+            tokens: The number of tokens, including those queued ahead of the prompt.
+            elapsed_ms: The time, in milliseconds."""
         if tokens < LEAST_TOKENS:
             return
         faster = tokens > self.tokens_per_ms * elapsed_ms
--- a/packages/core/src/mountladder/routing/restraints.py
+++ b/packages/core/src/mountladder/routing/restraints.py
@@ -1,8 +1,8 @@
-# restraints.py -- What holds some servers back at a moment
+# restraints.py -- Cold starts and rate limits that delay requests at backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What holds some servers back at a moment."""
+"""Cold starts and rate limits that delay requests at backend servers."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Restraints:
-    """What holds some servers back at a moment.
+    """The servers at which a request is delayed at present, by a cold start or a rate limit.
 
     Attributes:
-        cold: Names of servers that have just started, and are slow.
-        waits_ms: How long a request has to wait for each server that limits what it takes, by its
-            name.
+        cold: The names of servers that have just started and are still slow.
+        waits_ms: How long a request has to wait for each rate-limited server, in milliseconds, by
+            its name.
     """
 
     cold: frozenset[str] = frozenset()
     waits_ms: Mapping[str, float] = field(default_factory=dict)
 
     def limit_all(self, servers: Iterable[BackendServer]) -> bool:
-        """Tell whether all of some servers limit what they take."""
+        """Return whether all of the given servers are rate-limited."""
         return all(one.name in self.waits_ms for one in servers)
 
 
--- a/packages/core/src/mountladder/routing/roundrobin.py
+++ b/packages/core/src/mountladder/routing/roundrobin.py
@@ -1,8 +1,8 @@
-# roundrobin.py -- The policy that takes turns
+# roundrobin.py -- Routing policy: round robin
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The policy that takes turns."""
+"""Routing policy: round robin."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundRobin:
-    """Choose the candidates in turn."""
+    """Chooses the candidates in turn."""
--- a/packages/core/src/mountladder/routing/router.py
+++ b/packages/core/src/mountladder/routing/router.py
@@ -1,8 +1,8 @@
-# router.py -- Choosing a backend server for an attempt
+# router.py -- Chooses backend servers for attempts and learns from their outcomes
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Choosing a backend server for an attempt."""
+"""Chooses backend servers for attempts and learns from their outcomes."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
 
 
 class Router:
-    """Chooses servers, and learns from every call how fast, how busy and how sound they are.
+    """Chooses servers, and learns their speed, load and health from every call.
 
     Args:
         clock: The clock.
-        rng: The source of chance.
+        rng: The source of randomness.
         costs: The learnt times of stages.
-        policy: How to choose among candidates.
-        metrics: Where ejections are counted.
-        datacentre: The instance's data centre, or an empty string where all are near.
-        spill_ms: What a call to another data centre is taken to add, in milliseconds.
+        policy: The policy that chooses among candidates.
+        metrics: Counts ejections.
+        datacentre: The instance's data centre, or an empty string to treat all as local.
+        spill_ms: The time that a call to another data centre is assumed to add, in milliseconds.
 
     Attributes:
-        rests_until: Until when any server wants no requests from this instance.
-        on_leaving: Called with the name of a server that said it is leaving.
+        rests_until: When the last back-off that any server asked this instance for ends.
+        on_leaving: Called with the name of a server that announced that it is leaving.
     """
 
     def __init__(
@@ -77,14 +77,14 @@
         self.on_leaving: Callable[[str], None] = lambda name: None
 
     def set_peers(self, peers: int) -> None:
-        """Take in how many other instances send work to the same servers."""
+        """Set the number of other instances that send work to the same servers."""
         if peers != self.peers:
             self.peers = peers
             for state in self.states.values():
                 state.peers = peers
 
     def state(self, server: BackendServer) -> ServerState:
-        """Return what is known of a server; a server at a new address starts afresh."""
+        """Return the state of a server; a server at a new address gets a new state."""
         state = self.states.get(server.name)
         if state is None or state.server.address != server.address:
             state = self.states[server.name] = ServerState(server, self.rng)
@@ -110,12 +110,13 @@
             allowed: The servers that the selectors allow.
             stage: The stage to run.
             length: The length of its input in bytes.
-            budget_ms: The time that the stage may take.
-            excluded: Servers that failed this stage of this request already.
-            prefix: A hash of the start of the input, where engines may hold it.
+            budget_ms: The time that the stage may take, in milliseconds.
+            excluded: The names of servers that already failed this stage of this request. They are
+                used all the same where no other server is usable.
+            prefix: A hash of the start of the input, where engines may have it cached.
 
         Raises:
-            StageError: No server is allowed, or none is in use; nothing was dispatched.
+            StageError: No server is allowed, or none is usable; nothing was dispatched.
         """
         if not allowed:
             raise StageError("no backend server meets the selectors", Code.NO_SERVER_ALLOWED, False)
@@ -138,7 +139,7 @@
         length: int,
         holder: str | None,
     ) -> list[Candidate]:
-        """Return the servers to compare: those of other data centres only where it is crowded."""
+        """Return the servers to compare, remote ones only where all local ones are overloaded."""
         now = self.clock.now()
         near, far = self.nearby.part(allowed)
         drawn = self.draw(near, excluded, holder, stage.model) if near else []
@@ -151,7 +152,7 @@
     def usable(
         self, allowed: Sequence[BackendServer], excluded: frozenset[str], model: str
     ) -> list[ServerState]:
-        """Return the states of the servers that new work may be sent to."""
+        """Return the states of the allowed servers to which new work may be sent."""
         now = self.clock.now()
         states = (self.state(server) for server in allowed if server.name not in excluded)
         return [state for state in states if state.usable(now, model)]
@@ -163,10 +164,10 @@
         holder: str | None,
         model: str,
     ) -> list[ServerState]:
-        """Draw as many usable servers as the policy looks at.
+        """Sample as many usable servers as the policy compares.
 
-        Twice as many are drawn as are needed, so that all have to be looked at only where most of
-        them are out of use. One that holds the prefix is added.
+        Twice as many are sampled as are needed, since some may be unusable; all servers are
+        checked only if none of the sample is usable. The server that holds the prefix is added.
         """
         size = sample_size(self.policy, len(allowed))
         if len(allowed) <= SPARE * size:
@@ -182,7 +183,7 @@
     def candidate(
         self, state: ServerState, stage: Stage, length: int, holder: str | None, now: float
     ) -> Candidate:
-        """Return a server with the learnt time of a call there."""
+        """Return a server as a candidate, with the expected time of a call there."""
         unloaded = self.costs.expected(stage, state.server.accelerator, length)
         if state.server.name == holder:
             unloaded *= PREFIX_SAVING
@@ -190,7 +191,7 @@
         return Candidate.at(state, unloaded, now, delay_ms)
 
     def remember(self, prefix: int, server: str) -> None:
-        """Remember which server was last given a prefix."""
+        """Record that a server was the last to be sent a prefix."""
         self.prefixes[prefix] = server
         self.prefixes.move_to_end(prefix)
         if len(self.prefixes) > PREFIXES_KEPT:
@@ -199,7 +200,7 @@
     def succeeded(
         self, choice: Choice, stage: Stage, length: int, elapsed_ms: float, load: int | None
     ) -> None:
-        """Learn from a call that ended well."""
+        """Update a server's load, health and speed from a call that succeeded."""
         state = choice.state
         now = self.clock.now()
         crowding = self.crowding_met(choice, now)
@@ -211,36 +212,42 @@
         state.timed(elapsed_ms / max(1.0, choice.unloaded_ms * crowding), now)
 
     def paced(self, choice: Choice, stage: Stage, gap_ms: float) -> None:
-        """Learn a server's present crowding from the time between tokens of a running stream."""
+        """Update a server's load from the time between tokens of a running stream."""
         state = choice.state
         unloaded = self.costs.gap(stage, state.server.accelerator, gap_ms)
         state.met(gap_ms / max(MOST_EXACT_MS, unloaded), self.clock.now())
 
     def withdraw(self, choice: Choice) -> None:
-        """Take back a choice for which nothing was sent."""
+        """Cancel a choice for which nothing was sent."""
         choice.state.end(self.clock.now())
         choice.state.breaker.abandon()
 
     def crowding_met(self, choice: Choice, now: float) -> float:
-        """Return the crowding that a call met on the average, as far as is known."""
+        """Return the estimated mean load factor during a call that is about to end."""
         at_end = max(1.0, choice.state.load(now) / choice.state.server.slots)
         return (choice.crowding + at_end) / 2.0
 
     def leaving(self, name: str) -> None:
-        """Take a server out of use that a peer heard is leaving, used here before or not."""
+        """Stop using a server that a peer reported as leaving, whether it was used here or not."""
         self.heard_leaving[name] = self.clock.now()
         state = self.states.get(name)
         if state is not None:
             state.leave(self.clock.now())
 
     def rest(self, server: BackendServer, for_ms: float) -> None:
-        """Send a server nothing from this instance for some time, as it asked."""
+        """Send a server nothing from this instance for a time, as it asked.
+
+        Args:
+            server: The server.
+            for_ms: The length of the back-off, in milliseconds."""
         now = self.clock.now()
         self.state(server).rest(for_ms, now)
         self.rests_until = max(self.rests_until, now + for_ms)
 
     def rest_ms(self, servers: Iterable[BackendServer]) -> float:
-        """Return for how much longer all of some servers want no requests from here, or 0."""
+        """Return how long it takes until the first of the servers ends its back-off, or 0.
+
+        It is 0 where some server has asked for none, or where no servers are given."""
         now = self.clock.now()
         least_ms = math.inf
         for server in servers:
@@ -251,14 +258,14 @@
         return 0.0 if math.isinf(least_ms) else least_ms
 
     def resting(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
-        """Return those of some servers that want no requests from this instance now."""
+        """Return those of the servers that have asked this instance to back off at present."""
         now = self.clock.now()
         if now >= self.rests_until:
             return []
         return [one for one in servers if self.state(one).rest_ms(now) > 0]
 
     def ended(self, server: BackendServer) -> None:
-        """Take a server out of use that has ended, so that no further request is sent in vain."""
+        """Eject a server that has crashed, so that no further request is sent there."""
         breaker = self.state(server).breaker
         now = self.clock.now()
         if breaker.allows(now):
@@ -268,7 +275,7 @@
     def failed(
         self, choice: Choice, code: Code, elapsed_ms: float, stage: Stage, length: int
     ) -> None:
-        """Learn from a call that failed."""
+        """Update a server's load, health and speed from a call that failed."""
         state = choice.state
         now = self.clock.now()
         crowding = self.crowding_met(choice, now)
--- a/packages/core/src/mountladder/routing/serverstate.py
+++ b/packages/core/src/mountladder/routing/serverstate.py
@@ -1,8 +1,8 @@
-# serverstate.py -- What an instance knows of one backend server
+# serverstate.py -- An instance's view of one backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What an instance knows of one backend server."""
+"""An instance's view of one backend server."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class ServerState:
-    """Work in flight, reported load, slowness and breaker of one backend server.
+    """Calls in flight, reported load, slowness and circuit breaker of one backend server.
 
-    Reports are late and rare, so that what they tell of others' calls is smoothed, and fades while
-    no new one comes. Beside them stands a guess: that the other instances of the data centre,
-    which choose in the same way, have as many calls there on the average as this one had lately.
-    The higher of the two counts.
+    The load that other instances cause is estimated in two ways, and the higher value counts.
+    Load reports of the server are late and rare, so they are smoothed and decay until the next
+    one. The other estimate assumes that each other instance, which chooses in the same way, has as
+    many calls there as this instance had lately on average.
 
     Attributes:
-        running: The calls this instance has running there.
-        average: The same, smoothed over the last second or so.
-        peers: How many other instances send work to the same servers.
-        others: The calls that others have running there, as reports told last.
-        slowness: Its time over the time expected, smoothed; 1 where it is as expected.
-        leaving_until: Until when it is taken to be leaving.
-        without: Until when it is taken not to have a model loaded, by the model's name.
-        rests_since: When it last asked for rest.
-        rests_until: Until when it wants no requests from this instance.
+        running: The number of calls that this instance has in flight there.
+        average: The same, as a moving average with a half-life of half a second.
+        peers: The number of other instances that send work to the same servers.
+        others: The number of calls of other instances there, by the smoothed load reports.
+        slowness: The smoothed ratio of observed to expected call times, at least 1.
+        leaving_until: Until when it counts as leaving.
+        without: Until when it counts as lacking a model, by the model's name.
+        rests_since: When it last asked this instance to back off.
+        rests_until: When the back-off that it asked for ends.
     """
 
     def __init__(self, server: BackendServer, rng: random.Random) -> None:
@@ -59,13 +59,13 @@
         self.rests_until = 0.0
 
     def load(self, now: float) -> float:
-        """Return the calls it is believed to have at a time."""
+        """Return the estimated number of calls it has in flight at a time, from all instances."""
         guess = self.peers * self.averaged(now)
         trust = 0.5 ** ((now - self.reported_at) / HALF_LIFE_MS)
         return self.running + max(guess, self.others * trust)
 
     def averaged(self, now: float) -> float:
-        """Return the smoothed number of this instance's calls there at a time."""
+        """Return the moving average of this instance's calls there at a time."""
         weight = 0.5 ** ((now - self.averaged_at) / AVERAGE_HALF_LIFE_MS)
         return self.running + (self.average - self.running) * weight
 
@@ -76,40 +76,40 @@
         self.running += change
 
     def crowding(self, now: float) -> float:
-        """Return by how much its load is believed to lengthen one more call."""
+        """Return the factor by which its estimated load lengthens one more call, at least 1."""
         return max(1.0, (self.load(now) + 1) / self.server.slots)
 
     def slowness_at(self, now: float) -> float:
-        """Return how slow it is believed to be, which fades so that it is tried again."""
+        """Return its slowness at a time, which decays so that a slow server is tried again."""
         if self.slowness <= 1.0:
             return 1.0
         fading = 0.5 ** ((now - self.timed_at) / SLOWNESS_HALF_LIFE_MS)
         return 1.0 + (self.slowness - 1.0) * fading
 
     def usable(self, now: float, model: str = "") -> bool:
-        """Tell whether new work for a model may be sent to it from this instance."""
+        """Return whether this instance may send it new work for a model."""
         return now >= self.rests_until and self.in_use(now, model)
 
     def in_use(self, now: float, model: str = "") -> bool:
-        """Tell whether new work for a model may be sent to it by whom it asked for no rest."""
+        """Return whether it accepts new work for a model, regardless of back-offs it asked for."""
         if now < self.leaving_until or now < self.without.get(model, 0.0):
             return False
         return self.breaker.allows(now)
 
     def lacks(self, model: str, now: float) -> None:
-        """Record that the server said it does not have a model loaded."""
+        """Record that it answered that it does not have a model loaded."""
         self.without[model] = now + WITHOUT_MS
 
     def rest(self, for_ms: float, now: float) -> None:
-        """Record that it wants no requests from this instance for some time from now on.
+        """Record that it asked this instance to send nothing for a time from now on.
 
-        A longer rest that it asked for before goes on, whatever its later answers say.
+        A later answer never shortens a back-off that it asked for before.
         """
         self.rests_since = now
         self.rests_until = max(self.rests_until, now + for_ms)
 
     def rest_ms(self, now: float) -> float:
-        """Return for how much longer it wants no requests from this instance, in milliseconds."""
+        """Return the rest of its back-off for this instance, in milliseconds, or 0."""
         return max(0.0, self.rests_until - now)
 
     def begin(self, now: float) -> None:
@@ -122,25 +122,27 @@
         self.count(-1, now)
 
     def report(self, load: float, now: float) -> None:
-        """Take in a load that the server reported, this instance's own calls included."""
+        """Update the load from a report of the server, which includes this instance's calls."""
         known = self.load(now) - self.running
         self.others = known + OTHERS_WEIGHT * (max(0, load - self.running) - known)
         self.reported_at = now
 
     def met(self, crowding: float, now: float) -> None:
-        """Take in the crowding that a call of this instance met just now."""
+        """Update the load from the load factor that a call of this instance observed.
+
+        A factor close to 1 only shows that its slots are not exceeded."""
         if crowding > NOTICED_CROWDING:
             self.report(crowding * self.server.slots, now)
         else:
             self.report(min(self.load(now), self.server.slots), now)
 
     def timed(self, ratio: float, now: float) -> None:
-        """Learn from the ratio of a call's time to the time expected."""
+        """Update the slowness from the ratio of a call's time to the time expected."""
         known = self.slowness_at(now)
         bounded = min(MOST_SLOWNESS, max(0.1, ratio))
         self.slowness = max(1.0, known + SLOWNESS_WEIGHT * (bounded - known))
         self.timed_at = now
 
     def leave(self, now: float) -> None:
-        """Record that the server said it is leaving."""
+        """Record that it announced that it is leaving."""
         self.leaving_until = now + LEAVING_MS
--- a/packages/core/src/mountladder/routing/serverwish.py
+++ b/packages/core/src/mountladder/routing/serverwish.py
@@ -1,8 +1,8 @@
-# serverwish.py -- What a request wants of its server
+# serverwish.py -- Constraints of a request on its backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a request wants of its server."""
+"""Constraints of a request on its backend server."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerWish:
-    """What a request wants of its server.
+    """The constraints of a request on its backend server.
 
     Attributes:
-        excluded: Names of servers that are not wanted, such as those that failed it already.
-        site: The data centre where large inputs lie, or an empty string.
-        patience_ms: How long it can wait for its turn where servers limit what they take.
-        urgency: Its rank, 0 first.
+        excluded: The names of servers that must not be chosen, such as those that failed it.
+        site: The data centre where its large inputs are stored, or an empty string.
+        patience_ms: How long it can wait for a rate-limited server, in milliseconds.
+        urgency: Its rank; 0 is the most urgent.
     """
 
     excluded: frozenset[str] = frozenset()
@@ -27,5 +27,5 @@
     urgency: int = 0
 
     def without(self, names: Iterable[str]) -> ServerWish:
-        """Return the same wish without some more servers."""
+        """Return the same constraints with more servers excluded."""
         return replace(self, excluded=self.excluded.union(names))
--- a/packages/core/src/mountladder/routing/stagetiming.py
+++ b/packages/core/src/mountladder/routing/stagetiming.py
@@ -1,8 +1,8 @@
-# stagetiming.py -- Where and how long a stage ran
+# stagetiming.py -- Server, duration and cost of a completed stage
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Where and how long a stage ran."""
+"""Server, duration and cost of a completed stage."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StageTiming:
-    """Where a stage ran in the end and how long it took.
+    """The server, duration and cost of a completed stage.
 
     Attributes:
         stage: The stage's name.
-        server: The backend server that gave the result.
-        attempts: How many attempts it took.
-        ms: The time of the last attempt in milliseconds.
-        cost: What the last attempt cost.
+        server: The name of the backend server that returned the result.
+        attempts: The number of attempts.
+        ms: The duration of the last attempt in milliseconds.
+        cost: The cost of the last attempt, in the operator's unit.
     """
 
     stage: str
--- a/packages/core/src/mountladder/serverlimits/__init__.py
+++ b/packages/core/src/mountladder/serverlimits/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- How much backend servers say that they take
+# __init__.py -- Rate limits that backend servers announce
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How much backend servers say that they take."""
+"""Rate limits that backend servers announce."""
--- a/packages/core/src/mountladder/serverlimits/serverlimits.py
+++ b/packages/core/src/mountladder/serverlimits/serverlimits.py
@@ -1,8 +1,8 @@
-# serverlimits.py -- Keeping all instances together to what servers say that they take
+# serverlimits.py -- Keeps all instances together within the rate limits of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Keeping all instances together to what servers say that they take."""
+"""Keeps all instances together within the rate limits of backend servers."""
 
 from __future__ import annotations
 
@@ -17,31 +17,32 @@
 from mountladder.notices.ratelimit import UNLIMITED
 from mountladder.serverlimits.tokenbucket import TokenBucket
 
-# A server that takes less is sent one request in ten seconds all the same, since only an answer
-# tells that its limit has ended.
+# A server with a lower limit is still sent one request in ten seconds, since only an answer can
+# report that the limit was lifted.
 LEAST_PER_S = 0.1
-# How many requests may come at once after a pause, so that requests that come by chance use what a
-# server takes. Two in a row harm no server that takes so many a second.
+# The burst allowed after a pause, so that randomly arriving requests can use the full rate. Two
+# requests at once do not overload a server that takes as many a second.
 MOST_AT_ONCE = 2.0
-# Who spends a part by itself begins without any token again after this time without a request: all
-# that decide alone at the same moment must not send what each of them has saved.
+# An instance that spends a fraction by itself starts again without tokens after this time without
+# a request: several instances cut off from the coordinator must not all send saved tokens at once.
 ALONE_KEPT_MS = 2_000.0
 
 
 class ServerLimits:
-    """Spends what servers say that they take from all instances together.
+    """Enforces the rate limits that servers announce for all instances together.
 
-    The instance where the work of a service meets spends it for all, at once or booked ahead; the
-    others ask there, and use servers without a limit by themselves. Who cannot reach that instance
-    spends a small part, so that all of them stay within half as much again (`Leadership.part`).
+    A service's coordinator spends the whole limit, for immediate requests and for reservations;
+    the other instances ask the coordinator, and use servers without a limit on their own. An
+    instance that cannot reach the coordinator spends a small fraction, so that all together stay
+    within one and a half times the limit (`Leadership.part`).
 
     Args:
-        book: What servers say of themselves.
-        leadership: Tells which part may be spent here.
+        book: The notices of servers, which hold their limits.
+        leadership: Returns what fraction of a limit this instance may spend.
         clock: The clock.
 
     Attributes:
-        buckets: What may be sent yet to each limited server from here, by its name.
+        buckets: The token bucket of each rate-limited server, by its name.
     """
 
     def __init__(self, book: NoticeBook, leadership: Leadership, clock: Clock) -> None:
@@ -51,17 +52,19 @@
         self.buckets: dict[str, TokenBucket] = {}
 
     def limited(self, servers: Iterable[BackendServer]) -> frozenset[str]:
-        """Return the names of the servers that name a limit."""
+        """Return the names of the rate-limited servers."""
         if not self.book.limits:
             return frozenset()
         return frozenset(one.name for one in servers if self.book.per_s(one.name) < UNLIMITED)
 
     def waits_ms(self, servers: Iterable[BackendServer], topic: str) -> dict[str, float]:
-        """Return how long a request for each limited server has to wait, by its name.
+        """Return how long a request for each rate-limited server has to wait, in milliseconds.
+
+        Servers without a limit are left out.
 
         Args:
-            servers: The servers; those without a limit are left out.
-            topic: Under which topic the work that they are to get meets.
+            servers: The servers.
+            topic: The topic whose coordinator spends their limits.
         """
         limited = self.limited(servers)
         if not limited:
@@ -75,7 +78,7 @@
         return bucket.wait_ms(self.clock.now()) if bucket is not None else 0.0
 
     def sent(self, server: BackendServer, topic: str) -> None:
-        """Record that a request is sent to a server, or booked for when its turn comes."""
+        """Record that a request is sent to a server now, or reserved for a later time."""
         bucket = self.bucket(server, topic)
         if bucket is None:
             return
@@ -92,24 +95,24 @@
         )
 
     def per_s(self, server: BackendServer, topic: str) -> float:
-        """Return how many requests a second a server may be sent from here, or UNLIMITED."""
+        """Return how many requests a second this instance may send to a server, or UNLIMITED."""
         bucket = self.bucket(server, topic)
         return bucket.per_s if bucket is not None else UNLIMITED
 
     def bucket(self, server: BackendServer, topic: str) -> TokenBucket | None:
-        """Return what may be sent yet to a server from here, or None where it names no limit."""
+        """Return the token bucket of a server, or None where it has no limit."""
         if self.book.per_s(server.name) == UNLIMITED:
             self.buckets.pop(server.name, None)
             return None
         return self.bucket_of(server.name, self.leadership.part(topic), self.clock.now())
 
     def bucket_of(self, name: str, part: float, now: float) -> TokenBucket:
-        """Return what may be sent yet to a limited server.
+        """Return the token bucket of a rate-limited server, with its present rate.
 
         Args:
-            name: Its name.
-            part: Which part of its limit may be spent here.
-            now: The clock's time.
+            name: The server's name.
+            part: The fraction of the limit that this instance may spend.
+            now: The clock's time, in milliseconds.
         """
         whole = part >= 1.0
         per_s = max(LEAST_PER_S, self.book.per_s(name)) * part
@@ -124,7 +127,7 @@
         return bucket
 
     def forget_gone(self) -> None:
-        """Forget the servers of which the book knows nothing any more."""
+        """Drop the buckets of servers without a notice of a limit."""
         gone = [name for name in self.buckets if name not in self.book.limits]
         for name in gone:
             del self.buckets[name]
