--- a/bench/decision.py
+++ b/bench/decision.py
@@ -51,6 +51,6 @@
         for one in range(DECISIONS):
             choice = router.pick(servers, STAGE, 500, 2_000.0, prefix=one % 50)
             if one % 2:
-                router.succeeded(choice, STAGE, 500, 300.0, 3)
+                router.record_success(choice, STAGE, 500, 300.0, 3)
         rounds.append((time.process_time() - started) * 1e6 / DECISIONS)
     return statistics.median(rounds)
--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -41,20 +41,20 @@
 class SecondReferenceRouter(Router):
     """Remembers a prefix only from its second reference on."""
 
-    def remember(self, prefix: int, server: str) -> None:
+    def record_prefix(self, prefix: int, server: str) -> None:
         """Remember which server was given a prefix that was seen before."""
         seen = self.__dict__.setdefault("seen", {})
         seen[prefix] = seen.pop(prefix, 0) + 1
         if len(seen) > 4 * KEPT:
             del seen[next(iter(seen))]
         if seen[prefix] > 1:
-            super().remember(prefix, server)
+            super().record_prefix(prefix, server)
 
 
 class ForgetfulRouter(Router):
     """Remembers no prefix."""
 
-    def remember(self, prefix: int, server: str) -> None:
+    def record_prefix(self, prefix: int, server: str) -> None:
         """Forget it."""
 
 
@@ -99,7 +99,7 @@
         clock.time += WORK_MS / IN_FLIGHT
         if len(flying) >= IN_FLIGHT:
             ended, spent = flying.pop(rng.randrange(len(flying)))
-            router.succeeded(ended, STAGE, 100, spent, None)
+            router.record_success(ended, STAGE, 100, spent, None)
         while len(router.prefixes) > KEPT:
             router.prefixes.popitem(last=False)
     return hits / REQUESTS, max(calls.values()) * SERVERS / REQUESTS
--- a/features/forwardbasics.py
+++ b/features/forwardbasics.py
@@ -224,5 +224,5 @@
     def waits_ms(self, servers, topic):
         return {}
 
-    def sent(self, server, topic):
+    def record_sent(self, server, topic):
         pass
--- a/features/serversays.py
+++ b/features/serversays.py
@@ -10,8 +10,8 @@
 
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.promptpart import PromptPart
+from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
-from mountladder.notices.rest import Rest
 
 # By when instances have acted on what they were told.
 SETTLE_MS = 500.0
@@ -38,7 +38,7 @@
 
 def follow_instance(context, instance):
     """Note what an instance hears of servers."""
-    plain, name = instance.notices.hear, instance.settings.name
+    plain, name = instance.notices.dispatch, instance.settings.name
 
     def hear(server, notices, sent_at):
         now = context.clock.now()
@@ -46,12 +46,12 @@
             if isinstance(one, Leaving):
                 context.told.setdefault((name, server.name), now)
                 context.first_told.setdefault(server.name, now)
-            elif isinstance(one, Rest):
+            elif isinstance(one, BackOff):
                 context.asked.append(Asked(now, server.name, name, one.for_ms))
         plain(server, notices, sent_at)
 
     hear.instance = name
-    instance.notices.hear = hear
+    instance.notices.dispatch = hear
     # Who starts again may not know what it was told before.
     context.asked[:] = [one for one in context.asked if one.instance != name]
     for key in [key for key in context.told if key[0] == name]:
@@ -100,7 +100,7 @@
     instance = next(iter(context.fleet.instances.values()))
     for server in servers:
         found = instance.directory.find(server)
-        instance.notices.hear(found, notices, context.clock.now())
+        instance.notices.dispatch(found, notices, context.clock.now())
 
 
 def list_again(context):
--- a/features/steps/coldserver_steps.py
+++ b/features/steps/coldserver_steps.py
@@ -247,9 +247,9 @@
 
 @then("the prompt goes to another server")
 def goes_elsewhere(context):
-    context.desk.placement.held.clear()
-    context.desk.placement.reading.clear()
-    context.desk.placement.running.clear()
+    context.desk.placement.cached_parts.clear()
+    context.desk.placement.pending_tokens.clear()
+    context.desk.placement.running_prompts.clear()
     reply = context.desk.place(PlacementOrder(2, "llm", UNSHARED, (), ""), "a peer")
     assert reply.server != context.first, reply
 
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -166,7 +166,7 @@
     first = next(one for one in context.fleet.instances.values())
     server = next(s for s in first.directory.available("llm") if s.name == there)
     for instance in context.fleet.instances.values():
-        desk_of(instance).placement.held[server.name] = kept()
+        desk_of(instance).placement.cached_parts[server.name] = kept()
     context.run(serve, context, "a-1", request("r", PATHS["resumable"], context.clock.now()))
     assert upstream.arrivals["r"][0] == there, upstream.arrivals["r"]
 
@@ -190,7 +190,7 @@
 def deaf(context):
     instance = meeting(context, prompts_topic("llm"))
     context.deaf = instance.settings.name
-    desk_of(instance).placement.held["llm-1"] = kept()
+    desk_of(instance).placement.cached_parts["llm-1"] = kept()
     instance.directory.drains.apply = lambda told, source: None
     instance.directory.drains.replace = lambda told, position, source: None
 
@@ -212,7 +212,7 @@
     context.run(context.clock.sleep, 60.0)
     context.instance = meeting(context, prompts_topic("llm"))
     desk = desk_of(context.instance)
-    desk.placement.held["llm-1"] = kept()
+    desk.placement.cached_parts["llm-1"] = kept()
     transfer = SimpleNamespace(expected_ms=lambda tokens, far: 0.001)
     desk.follower = SimpleNamespace(service=lambda name: SimpleNamespace(transfer=transfer))
     context.desk = desk
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -379,8 +379,8 @@
 def kept_elsewhere(context, tokens):
     context.shared = PromptPart("shared", tokens)
     prompt = Prompt(tokens + 10, 10, (context.shared, PromptPart("other", 10)))
-    context.desk.placement.began("llm-2", prompt, 0)
-    context.desk.placement.ended("llm-2")
+    context.desk.placement.record_start("llm-2", prompt, 0)
+    context.desk.placement.record_end("llm-2")
 
 
 def place(context, own, site):
--- a/features/steps/leavingserver_steps.py
+++ b/features/steps/leavingserver_steps.py
@@ -93,7 +93,7 @@
 @then("it knows within {ms:d} ms that {server} leaves")
 def knows(context, ms, server):
     context.run(context.clock.sleep, float(ms))
-    assert context.new.notices.book.leaving_since(server) is not None
+    assert context.new.notices.registry.leaving_since(server) is not None
 
 
 @when("{ms:d} s go by")
@@ -162,7 +162,7 @@
     context.book.listed = lambda: frozenset({"i-1"} if which == "listed" else ())
     for name in ("i-1", "i-2"):
         server = listed_server(name, "desk", "10.0.0.1:80", "a", 8, False)
-        context.book.hear(server, Leaving(), context.clock.now())
+        context.book.record(server, Leaving(), context.clock.now())
         context.clock.time += FORGOTTEN_MS
 
 
@@ -257,7 +257,7 @@
 
     def play():
         for book, wait_ms in ((context.books[0], float(ms)), (context.books[1], 0.0)):
-            book.hear(server, Leaving(), context.clock.now() - 5.0)
+            book.record(server, Leaving(), context.clock.now() - 5.0)
             context.clock.sleep(wait_ms)
 
     context.run(play)
@@ -281,7 +281,7 @@
     for n in range(number + others):
         context.clock.time += ms
         server = listed_server(f"i-{n}", "desk", "10.0.0.1:80", "a", 8, False)
-        context.book.hear(server, Leaving(), context.clock.now())
+        context.book.record(server, Leaving(), context.clock.now())
 
 
 @then("it remembers those that are listed, and {most:d} in all at least")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -26,9 +26,9 @@
 from mountladder.forwarding.piecefailure import PieceFailure
 from mountladder.forwarding.serverrecord import listed_server
 from mountladder.metrics.memorymetrics import MemoryMetrics
+from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
 from mountladder.notices.ratelimit import UNLIMITED, RateLimit
-from mountladder.notices.rest import Rest
 from mountladder.store.position import Position
 from mountladder_entry.httpclient import HttpClient
 from mountladder_entry.logqueue import MOST_LINES, LogQueue
@@ -191,8 +191,8 @@
         "leaves": ([Leaving()], []),
         "neither leaves nor wants rest": ([], []),
     }
-    rest = [Rest(1000.0 * float(what.split()[-2]))] if what.startswith("wants rest for") else []
-    heard = (heard_of(context, Leaving), heard_of(context, Rest))
+    rest = [BackOff(1000.0 * float(what.split()[-2]))] if what.startswith("wants rest for") else []
+    heard = (heard_of(context, Leaving), heard_of(context, BackOff))
     assert heard == expected.get(what, ([], rest)), context.heard
 
 
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -54,7 +54,7 @@
 def out_of_use(context, first, second):
     for instance in context.fleet.instances.values():
         for id_ in (first, second):
-            state(instance, id_).leave(context.clock.now())
+            state(instance, id_).mark_leaving(context.clock.now())
 
 
 def list_again(context, id_, born):
@@ -88,8 +88,8 @@
 def knows(context, id_):
     for instance in context.fleet.instances.values():
         server = named(instance, id_)
-        placement(instance).began(server.name, SHARED, 0)
-        state(instance, id_).timed(4.0, context.clock.now())
+        placement(instance).record_start(server.name, SHARED, 0)
+        state(instance, id_).record_time_ratio(4.0, context.clock.now())
         instance.dispatch.batcher("enc").room.reserve(server.name, RESULT_BYTES)
 
 
@@ -104,7 +104,7 @@
     for instance in context.fleet.instances.values():
         one = state(instance, id_)
         room = instance.dispatch.batcher("enc").room.taken(one.server.name, now)
-        found.append((placement(instance).kept(one, SHARED), one.slowness, room))
+        found.append((placement(instance).cached_tokens(one, SHARED), one.slowness, room))
     return found
 
 
--- a/features/steps/restingserver_steps.py
+++ b/features/steps/restingserver_steps.py
@@ -11,7 +11,7 @@
 from serversays import SETTLE_MS, follow, list_again, of_service, send
 
 from mountladder.forwarding.ranking import prompts_topic
-from mountladder.notices.rest import Rest
+from mountladder.notices.backoff import BackOff
 
 # How soon after a refusal the rest that it asks for counts (the users' bound).
 REST_AFTER_MS = 500.0
@@ -147,7 +147,7 @@
     for instance in instances:
         for server in servers:
             found = instance.directory.find(server)
-            instance.notices.hear(found, [Rest(float(rest_ms))], context.clock.now())
+            instance.notices.dispatch(found, [BackOff(float(rest_ms))], context.clock.now())
 
 
 @given("all {service:w} servers have asked each instance for a rest of {rest_ms:d} ms")
@@ -186,7 +186,7 @@
 def asks_shorter(context, rest_ms):
     for instance in context.fleet.instances.values():
         found = instance.directory.find(context.server)
-        instance.notices.hear(found, [Rest(float(rest_ms))], context.clock.now())
+        instance.notices.dispatch(found, [BackOff(float(rest_ms))], context.clock.now())
     context.run(context.clock.sleep, 2.0 * rest_ms)
 
 
--- a/features/steps/serverlimit_steps.py
+++ b/features/steps/serverlimit_steps.py
@@ -34,16 +34,16 @@
 from mountladder.forwarding.serverpicker import NO_PROMPT
 from mountladder.forwarding.serverrecord import ID_LABEL, listed_server
 from mountladder.metrics.memorymetrics import MemoryMetrics
+from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
-from mountladder.notices.noticebook import NoticeBook
+from mountladder.notices.noticeregistry import NoticeRegistry
 from mountladder.notices.ratelimit import UNLIMITED, RateLimit
-from mountladder.notices.rest import Rest
 from mountladder.routing.costmodel import CostModel
 from mountladder.routing.expectedcompletion import ExpectedCompletion
 from mountladder.routing.promptplacement import PromptPlacement
-from mountladder.routing.restraints import Restraints
 from mountladder.routing.router import Router
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.serverconstraints import ServerConstraints
+from mountladder.routing.serverdelays import ServerDelays
 
 SETTLE_MS = 1_500.0
 # The users' bound: from so long after a server first named its limit it gets in any span of so many
@@ -218,7 +218,7 @@
         name_limit(context, one, per_s)
         for instance in list(context.fleet.instances.values())[:1]:
             found = instance.directory.find(one)
-            instance.limits.book.hear(found, RateLimit(per_s), context.clock.now())
+            instance.limits.registry.record(found, RateLimit(per_s), context.clock.now())
     context.run(context.clock.sleep, 100.0)
 
 
@@ -231,7 +231,7 @@
 @then("it knows within {ms:d} ms that {server} takes {per_s:g} a second")
 def knows(context, ms, server, per_s):
     context.run(context.clock.sleep, float(ms))
-    assert context.new.limits.book.per_s(server) == per_s
+    assert context.new.limits.registry.per_s(server) == per_s
     assert context.new.limits.leadership.part("any topic") < 1.0
 
 
@@ -272,7 +272,7 @@
 @then("no instance takes {server} to be limited")
 def none_takes(context, server):
     for instance in context.fleet.instances.values():
-        assert instance.limits.book.per_s(server) == UNLIMITED, instance.settings.name
+        assert instance.limits.registry.per_s(server) == UNLIMITED, instance.settings.name
 
 
 @then("each server got a request in its last {ms:d} ms")
@@ -417,11 +417,11 @@
 
 @when("a request waits for its turn, and its server {what}")
 def says_waiting(context, what):
-    notice = {"leaves": Leaving(), "asks for rest": Rest(5_000.0)}[what]
+    notice = {"leaves": Leaving(), "asks for rest": BackOff(5_000.0)}[what]
 
     def say(task, server):
         for one in context.fleet.instances.values():
-            one.notices.hear(one.directory.find(server), [notice], context.clock.now())
+            one.notices.dispatch(one.directory.find(server), [notice], context.clock.now())
         context.drained = server
 
     wait_for_turn(context, say)
@@ -437,17 +437,17 @@
 
 @given("a server has named {per_s} a second in an answer from {sent:d} to {seen:d} ms")
 def book_named(context, per_s, sent, seen):
-    context.book = NoticeBook(context.clock, MemoryMetrics())
+    context.book = NoticeRegistry(context.clock, MemoryMetrics())
     context.server = listed_server("i-1", "desk", "10.0.0.1:80", "a", 8, False)
     context.clock.time = 1_000.0
-    context.book.hear(context.server, RateLimit(2.0), 900.0)
+    context.book.record(context.server, RateLimit(2.0), 900.0)
     answer_named(context, sent, seen, per_s)
 
 
 @when("one from {sent:d} to {seen:d} ms names {per_s}")
 def answer_named(context, sent, seen, per_s):
     context.clock.time = 1_000.0 + seen
-    context.book.hear(context.server, RateLimit(_limit(per_s)), 1_000.0 + sent)
+    context.book.record(context.server, RateLimit(_limit(per_s)), 1_000.0 + sent)
 
 
 @then("it is taken to take {per_s}")
@@ -461,7 +461,7 @@
 
 @given("{number:d} instances in a ring, with links of {ms:d} ms")
 def ring(context, number, ms):
-    context.books = [NoticeBook(context.clock, MemoryMetrics()) for n in range(number)]
+    context.books = [NoticeRegistry(context.clock, MemoryMetrics()) for n in range(number)]
     context.messages = 0
     context.under_way = 0
 
@@ -476,10 +476,10 @@
 
     def take(to, ages, source):
         context.under_way -= 1
-        context.books[to].take([one.told(context.clock.now()) for one in ages], source)
+        context.books[to].merge([one.from_ages(context.clock.now()) for one in ages], source)
 
     for n, book in enumerate(context.books):
-        book.on_news = lambda words, source, n=n: tell(n, words, source)
+        book.on_announce = lambda words, source, n=n: tell(n, words, source)
 
 
 @when("one is told a limit of {first:g}, and {ms:d} ms later another one a limit of {second:g}")
@@ -488,9 +488,9 @@
 
     def play():
         context.clock.sleep(100.0)
-        context.books[0].hear(server, RateLimit(first), context.clock.now() - 5.0)
+        context.books[0].record(server, RateLimit(first), context.clock.now() - 5.0)
         context.clock.sleep(float(ms))
-        context.books[2].hear(server, RateLimit(second), context.clock.now() - 5.0)
+        context.books[2].record(server, RateLimit(second), context.clock.now() - 5.0)
 
     context.run(play)
 
@@ -499,14 +499,14 @@
 def told_in_vain(context, per_s):
     server = listed_server("i-1", "desk", "10.0.0.1:80", "a", 8, False)
     book = context.books[0]
-    plain, book.on_news = book.on_news, lambda words, source: None
+    plain, book.on_announce = book.on_announce, lambda words, source: None
 
     def play():
-        book.hear(server, RateLimit(per_s), context.clock.now())
-        book.on_news = plain
+        book.record(server, RateLimit(per_s), context.clock.now())
+        book.on_announce = plain
         for _ in range(6):
             context.clock.sleep(SECOND_MS)
-            book.hear(server, RateLimit(per_s), context.clock.now() - 5.0)
+            book.record(server, RateLimit(per_s), context.clock.now() - 5.0)
 
     context.run(play)
 
@@ -527,7 +527,7 @@
 
 @given("an instance")
 def one_book(context):
-    context.book = NoticeBook(context.clock, MemoryMetrics())
+    context.book = NoticeRegistry(context.clock, MemoryMetrics())
 
 
 @when("{number:d} servers name a limit, one each {ms:d} ms")
@@ -535,7 +535,7 @@
     for n in range(number):
         context.clock.time += ms
         server = listed_server(f"i-{n}", "desk", "10.0.0.1:80", "a", 8, False)
-        context.book.hear(server, RateLimit(1.0), context.clock.now())
+        context.book.record(server, RateLimit(1.0), context.clock.now())
     context.number = number
 
 
@@ -565,7 +565,7 @@
     context.placement = PromptPlacement(context.clock, router)
     context.two = [listed_server(name, "llm", name, "a", 8, False) for name in ("s1", "s2")]
     context.prompt = Prompt(tokens + 100, 10, (PromptPart("kept", tokens), PromptPart("own", 100)))
-    context.placement.held["s1"] = OrderedDict({"kept": None})
+    context.placement.cached_parts["s1"] = OrderedDict({"kept": None})
 
 
 @when("it would have to wait {first:d} ms for s1 and can wait {patience:d} ms")
@@ -584,9 +584,9 @@
     context.chosen = context.placement.choose(
         context.two,
         context.prompt,
-        ServerWish(patience_ms=float(patience)),
+        ServerConstraints(max_wait_ms=float(patience)),
         PromptTransfer(163_840.0, 1_100_000.0),
-        Restraints(waits_ms=waits_ms),
+        ServerDelays(waits_ms=waits_ms),
     )
 
 
@@ -632,9 +632,9 @@
     picker.tried["desk"] = now
     for server in instance.directory.available("desk"):
         if server.name not in context.named:
-            instance.router.state(server).count(calls, now)
+            instance.router.state(server).change_running(calls, now)
     sent = request("x", PATHS[kind], now)
-    context.chosen = context.run(picker.pick, sent, "desk", 1_000.0, ServerWish())
+    context.chosen = context.run(picker.pick, sent, "desk", 1_000.0, ServerConstraints())
 
 
 @then("it goes to {server}")
@@ -656,7 +656,7 @@
     picker = instance.forwarder.context.picker
     picker.tried.clear()
     sent = request("x", PATHS[kind], context.clock.now())
-    wish = ServerWish(patience_ms=float(patience))
+    wish = ServerConstraints(max_wait_ms=float(patience))
     context.chosen = context.run(picker.pick, sent, "desk", 2_000.0, wish)
 
 
@@ -688,7 +688,7 @@
 @then("where prompts meet none is counted any more")
 def none_counted(context):
     desk = desk_of(meeting(context, prompts_topic("llm")))
-    assert not desk.placed and not desk.placement.reading, desk.placed
+    assert not desk.placed and not desk.placement.pending_tokens, desk.placed
 
 
 @when(
@@ -705,7 +705,7 @@
         context.clock.sleep(float(ms))
         instance = context.fleet.instances[names[0]]
         for server in of_service(context, "llm"):
-            instance.limits.book.hear(
+            instance.limits.registry.record(
                 instance.directory.find(server), RateLimit(1.0), context.clock.now()
             )
         gevent.joinall(tasks)
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -148,4 +148,4 @@
 def nothing_read(context):
     for one in context.fleet.instances.values():
         desk = desk_of(one)
-        assert not desk.placed and not desk.placement.reading, desk.placed
+        assert not desk.placed and not desk.placement.pending_tokens, desk.placed
--- a/packages/core/src/mountladder/engines/orders.py
+++ b/packages/core/src/mountladder/engines/orders.py
@@ -22,8 +22,8 @@
 from mountladder.metrics.metrics import Metrics
 from mountladder.store.lease import Lease
 
-MOST_LOADING = 2
-PER_ENGINE_MS = 200.0
+MAX_LOADING = 2
+INTERVAL_PER_ENGINE_MS = 200.0
 Models = tuple[tuple[str, str], ...]
 
 
@@ -57,8 +57,8 @@
         self.engines = engines
         self.lease = lease
         self.metrics = metrics
-        self.ordered: dict[str, Models] = {}
-        self.next_at = 0.0
+        self.last_orders: dict[str, Models] = {}
+        self.next_reconcile_at = 0.0
 
     def step(self) -> None:
         """Renew or try to acquire the lease, and reconcile the engines while it is held.
@@ -66,18 +66,18 @@
         The interval grows with the number of engines, so that the holder's work stays bounded.
         """
         if not self.lease.step():
-            self.ordered.clear()
-            self.next_at = 0.0
+            self.last_orders.clear()
+            self.next_reconcile_at = 0.0
             return
         now = self.lease.clock.now()
-        if now < self.next_at:
+        if now < self.next_reconcile_at:
             return
         try:
-            self.mend()
+            self.reconcile()
         except LeaseLostError:
             log_message("orders-stopped", datacentre=self.datacentre, fence=self.lease.fence)
 
-    def mend(self) -> None:
+    def reconcile(self) -> None:
         """Send an order to each engine that needs one.
 
         Raises:
@@ -86,7 +86,7 @@
         configuration = self.follower.configuration
         servers = {one.name: one for one in engines_of(configuration, self.datacentre)}
         states = self.states(servers)
-        self.next_at = self.lease.clock.now() + PER_ENGINE_MS * len(states)
+        self.next_reconcile_at = self.lease.clock.now() + INTERVAL_PER_ENGINE_MS * len(states)
         wanted = wanted_models(configuration, self.datacentre, states)
         serving = Counter(
             name
@@ -97,11 +97,11 @@
         loading = sum(bool(state.loading) for state in states.values())
         for name in sorted(wanted):
             state = states[name]
-            target = self.without_loss(state, wanted[name], serving)
+            target = self.keep_last_replicas(state, wanted[name], serving)
             if not self.is_needed(state, target):
                 continue
             if set(target) - set(state.models):
-                if loading >= MOST_LOADING:
+                if loading >= MAX_LOADING:
                     continue
                 loading += 1
             self.send(servers[name], state, target)
@@ -127,7 +127,9 @@
                 log_message("engine-unreachable", server=name, reason=error.detail)
         return states
 
-    def without_loss(self, state: EngineState, target: Models, serving: Counter[str]) -> Models:
+    def keep_last_replicas(
+        self, state: EngineState, target: Models, serving: Counter[str]
+    ) -> Models:
         """Return a target that keeps each configured model that no other engine serves.
 
         Args:
@@ -150,7 +152,7 @@
         Raises:
             LeaseLostError: The lease is about to expire, or the engine has a later order."""
         self.lease.check()
-        repaired = self.ordered.get(server.name) == target
+        repaired = self.last_orders.get(server.name) == target
         event = "order-repaired" if repaired else "order-sent"
         fence = self.lease.fence
         log_message(event, server=server.name, found=state.models, wanted=target, fence=fence)
@@ -163,4 +165,4 @@
         except StageError as error:
             log_message("order-failed", server=server.name, reason=error.detail)
             return
-        self.ordered[server.name] = target
+        self.last_orders[server.name] = target
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -29,7 +29,7 @@
 from mountladder.forwarding.upstream import Upstream
 from mountladder.limits.windowbudget import WindowBudget
 from mountladder.metrics.metrics import Metrics
-from mountladder.notices.noticeboard import NoticeBoard
+from mountladder.notices.noticedispatcher import NoticeDispatcher
 from mountladder.quarantine.quarantineservice import QuarantineService
 from mountladder.routing.router import Router
 from mountladder.routing.serverstate import ServerState
@@ -84,7 +84,7 @@
         metrics: Metrics,
         cold: ColdServers,
         limits: ServerLimits,
-        notices: NoticeBoard,
+        notices: NoticeDispatcher,
     ) -> None:
         self.service = service
         self.notices = notices
@@ -112,7 +112,7 @@
             directory,
             self.clock,
             self.freed,
-            self.notices.hear,
+            self.notices.dispatch,
             self.servers.spared_addresses,
             lambda handle: handle in self.room.results,
         )
--- a/packages/core/src/mountladder/forwarding/batchrun.py
+++ b/packages/core/src/mountladder/forwarding/batchrun.py
@@ -83,7 +83,7 @@
         cancel = self.home.clock.call_later(late_ms, self.send_twice)
         try:
             results = self.home.upstream.run_pieces(
-                self.state.server, pieces, patience_ms, self.home.notices.hear
+                self.state.server, pieces, patience_ms, self.home.notices.dispatch
             )
         except StageError as error:
             self.failed(error)
@@ -97,7 +97,9 @@
     def send_twice(self) -> None:
         """Let the pieces of a call that takes long wait for another server as well."""
         now = self.home.clock.now()
-        self.state.timed((now - self.call.started) / self.limits.expected_ms(len(self.batch)), now)
+        self.state.record_time_ratio(
+            (now - self.call.started) / self.limits.expected_ms(len(self.batch)), now
+        )
         self.home.servers.mark_overdue(self.state, self.call)
         again = [one for one in self.batch if not one[0].has(one[1]) and self.home.budget.spend()]
         log_message(
@@ -121,7 +123,7 @@
         elapsed_ms = now - self.call.started
         self.state.breaker.succeed()
         self.home.servers.answered(self.state, now)
-        self.state.timed(elapsed_ms / self.limits.expected_ms(len(self.batch)), now)
+        self.state.record_time_ratio(elapsed_ms / self.limits.expected_ms(len(self.batch)), now)
         self.home.rate.add(len(self.batch))
         self.home.metrics.count(Metric.STAGE_CALLS)
         self.home.metrics.count(Metric.STAGE_PIECES, number=len(self.batch))
@@ -175,7 +177,7 @@
             self.home.servers.pause(self.state, now + FULL_PAUSE_MS)
             self.state.breaker.abandon()
         elif error.code is Code.SERVER_REPLACED:
-            self.state.leave(now)
+            self.state.mark_leaving(now)
             self.state.breaker.abandon()
         elif self.home.servers.has_answered_since(self.state, self.call):
             # Only the answer was lost.
--- a/packages/core/src/mountladder/forwarding/finishtime.py
+++ b/packages/core/src/mountladder/forwarding/finishtime.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from mountladder.forwarding.prompt import Prompt
-from mountladder.routing.readingspeed import FIRST_TOKENS_PER_MS
+from mountladder.routing.prefillspeed import INITIAL_TOKENS_PER_MS
 
 # Fetching results and waiting for the step under way.
 LEAST_MS = 100.0
@@ -19,4 +19,4 @@
 def finish_ms(prompt: Prompt | None) -> float:
     """Return the expected time from the last stage to the first event, in milliseconds."""
     tokens = prompt.tokens if prompt is not None else 0
-    return LEAST_MS + READ_PART * tokens / FIRST_TOKENS_PER_MS
+    return LEAST_MS + READ_PART * tokens / INITIAL_TOKENS_PER_MS
--- a/packages/core/src/mountladder/forwarding/forwardcall.py
+++ b/packages/core/src/mountladder/forwarding/forwardcall.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from mountladder.forwarding.forwardrequest import ForwardRequest
-from mountladder.notices.notice import Heard
+from mountladder.notices.notice import NoticeHandler
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,5 +36,5 @@
     after_event: str = ""
     reusable: bool = True
     source: str = ""
-    heard: Heard = lambda server, notices, sent_at: None
+    heard: NoticeHandler = lambda server, notices, sent_at: None
     connected: Callable[[], None] = lambda: None
--- a/packages/core/src/mountladder/forwarding/forwardcontext.py
+++ b/packages/core/src/mountladder/forwarding/forwardcontext.py
@@ -20,7 +20,7 @@
 from mountladder.forwarding.upstream import Upstream
 from mountladder.limits.windowbudget import WindowBudget
 from mountladder.metrics.metrics import Metrics
-from mountladder.notices.noticeboard import NoticeBoard
+from mountladder.notices.noticedispatcher import NoticeDispatcher
 from mountladder.quarantine.quarantineservice import QuarantineService
 
 
@@ -56,4 +56,4 @@
     departure: Departure
     fetch_time: FetchTime
     quarantine: QuarantineService
-    notices: NoticeBoard
+    notices: NoticeDispatcher
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -45,7 +45,7 @@
 from mountladder.membership.membership import Membership
 from mountladder.membership.network import Network
 from mountladder.metrics.metrics import Metrics
-from mountladder.notices.noticeboard import NoticeBoard
+from mountladder.notices.noticedispatcher import NoticeDispatcher
 from mountladder.quarantine.barkeeper import BarKeeper
 from mountladder.quarantine.quarantineservice import QuarantineService
 from mountladder.routing.costmodel import CostModel
@@ -128,8 +128,8 @@
         )
         leadership = Leadership(self.fleet, clock)
         self.cold = ColdServers(self.directory, self.follower, leadership, clock)
-        self.notices = NoticeBoard(self.fleet, self.directory, self.router, clock, metrics)
-        self.limits = ServerLimits(self.notices.book, leadership, clock)
+        self.notices = NoticeDispatcher(self.fleet, self.directory, self.router, clock, metrics)
+        self.limits = ServerLimits(self.notices.registry, leadership, clock)
         desk = PlacementDesk(
             self.directory, self.router, clock, self.follower, self.cold, self.limits
         )
@@ -174,7 +174,7 @@
         """Use a server no more that has ended, whoever noticed."""
         server = self.directory.find(name)
         if server is not None:
-            self.router.ended(server)
+            self.router.mark_crashed(server)
 
     def make_context(self, picker: ServerPicker) -> ForwardContext:
         """Return what forwarded requests share."""
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -196,7 +196,7 @@
             after_event=after_event,
             reusable=self.route.repeatable,
             source=attempt.picked.source,
-            heard=self.context.notices.hear,
+            heard=self.context.notices.dispatch,
             connected=connected,
         )
         return self.context.upstream.open(attempt.choice.state.server, call, limit_ms)
--- a/packages/core/src/mountladder/forwarding/placementdesk.py
+++ b/packages/core/src/mountladder/forwarding/placementdesk.py
@@ -23,8 +23,8 @@
 from mountladder.forwarding.turnedaway import TurnedAway
 from mountladder.routing.promptchoice import PromptChoice
 from mountladder.routing.promptplacement import PromptPlacement
-from mountladder.routing.restraints import Restraints
 from mountladder.routing.router import Router
+from mountladder.routing.serverdelays import ServerDelays
 from mountladder.serverlimits.serverlimits import ServerLimits
 
 # Stands for this instance among those that have prompts placed.
@@ -78,23 +78,23 @@
         """
         servers = self.directory.available(order.service)
         topic = prompts_topic(order.service)
-        restraints = Restraints(self.cold.cold(servers), self.limits.waits_ms(servers, topic))
+        restraints = ServerDelays(self.cold.cold(servers), self.limits.waits_ms(servers, topic))
         chosen = self.choose(order, servers, restraints, topic)
         if chosen is None:
             return self.turn_away(order, servers, restraints)
         choice = chosen.choice
         server = choice.state.server.name
         plan = chosen.plan
-        ahead = self.placement.reading[server]
+        ahead = self.placement.pending_tokens[server]
         choice.state.breaker.begin()
         self.cold.sent(choice.state.server)
-        self.limits.sent(choice.state.server, topic)
+        self.limits.record_sent(choice.state.server, topic)
         key = (owner, order.number)
         self.placed[key] = PlacedPrompt(
             server, plan.read, choice.unloaded_ms, 0 if plan.source else ahead + plan.read
         )
         self.unread.add(key)
-        self.placement.began(server, order.prompt, plan.read)
+        self.placement.record_start(server, order.prompt, plan.read)
         wait_ms = restraints.waits_ms.get(server, 0.0)
         return PlacementReply(
             order.number, server, choice.expected_ms, plan.source, plan.read, wait_ms
@@ -104,11 +104,11 @@
         self,
         order: PlacementOrder,
         servers: Sequence[BackendServer],
-        restraints: Restraints,
+        restraints: ServerDelays,
         topic: str,
     ) -> PromptChoice | None:
         """Choose a server for a prompt, or none."""
-        if restraints.limit_all(servers) and self.gives_way(order):
+        if restraints.all_limited(servers) and self.gives_way(order):
             return None
         wish = order.wish.without(self.cold.spent(servers, restraints.cold, topic))
         service = self.follower.service(order.service)
@@ -124,10 +124,10 @@
         self,
         order: PlacementOrder,
         servers: Sequence[BackendServer],
-        restraints: Restraints,
+        restraints: ServerDelays,
     ) -> PlacementReply:
         """Return that no server takes a request, and when it is to come back, if that is known."""
-        if not servers or not restraints.limit_all(servers):
+        if not servers or not restraints.all_limited(servers):
             return PlacementReply(order.number, "", 0.0)
         topic = prompts_topic(order.service)
         turned_away = self.turned_away.setdefault(order.service, TurnedAway())
@@ -148,7 +148,7 @@
             self.take_out(placed.server)
         if note.ended:
             del self.placed[key]
-            self.placement.ended(placed.server)
+            self.placement.record_end(placed.server)
 
     def take_out(self, server: str) -> None:
         """Send no more prompts to a server that an instance could not reach, but for a trial.
@@ -159,7 +159,7 @@
         state = self.router.states.get(server)
         now = self.clock.now()
         # Those that were on their way when it went tell nothing new.
-        if state is not None and (state.breaker.allows(now) or state.breaker.trying):
+        if state is not None and (state.breaker.allows(now) or state.breaker.probing):
             state.breaker.trip(now)
             log_message("server-out", server=server, reason="an instance could not reach it")
 
@@ -168,7 +168,7 @@
         if key not in self.unread:
             return
         self.unread.discard(key)
-        self.placement.read(placed.server, placed.read)
+        self.placement.record_read(placed.server, placed.read)
         if read_ms > 0:
             self.placement.speed.learn(placed.tokens, read_ms)
         state = self.router.states.get(placed.server)
@@ -176,7 +176,7 @@
             return
         if read_ms > 0:
             state.breaker.succeed()
-            state.timed(read_ms / placed.expected_ms, self.clock.now())
+            state.record_time_ratio(read_ms / placed.expected_ms, self.clock.now())
         else:
             state.breaker.abandon()
 
--- a/packages/core/src/mountladder/forwarding/placementorder.py
+++ b/packages/core/src/mountladder/forwarding/placementorder.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from mountladder.forwarding.prompt import Prompt
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.serverconstraints import ServerConstraints
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,6 +35,8 @@
     urgency: int = 0
 
     @property
-    def wish(self) -> ServerWish:
+    def wish(self) -> ServerConstraints:
         """Return what it wants of its server."""
-        return ServerWish(frozenset(self.excluded), self.site, self.patience_ms, self.urgency)
+        return ServerConstraints(
+            frozenset(self.excluded), self.site, self.patience_ms, self.urgency
+        )
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -21,7 +21,7 @@
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.ranking import prompts_topic
 from mountladder.membership.link import Link
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.serverconstraints import ServerConstraints
 
 # How long the other instance is waited for: it answers in a millisecond or two, and a prompt that
 # is placed with less knowledge costs no more than this.
@@ -49,7 +49,7 @@
         fleet.subscribe(PlacementNote, self.take_note)
         fleet.peer_gone.append(lambda link: desk.drop(id(link)))
 
-    def place(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
+    def place(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementReply:
         """Return where a prompt is to go; its number stands for it until it has ended."""
         order = self.order(service, prompt, wish)
         link = self.fleet.home(prompts_topic(service))
@@ -60,15 +60,15 @@
             self.homes[order.number] = link
         return reply
 
-    def place_here(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
+    def place_here(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementReply:
         """Return where a prompt is to go by what this instance alone knows; see place."""
         return self.decide(self.order(service, prompt, wish))
 
-    def order(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementOrder:
+    def order(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementOrder:
         """Return a new order for a prompt; see place."""
         number, excluded = next(self.numbers), tuple(wish.excluded)
         return PlacementOrder(
-            number, service, prompt, excluded, wish.site, wish.patience_ms, wish.urgency
+            number, service, prompt, excluded, wish.site, wish.max_wait_ms, wish.urgency
         )
 
     def decide(self, order: PlacementOrder) -> PlacementReply:
--- a/packages/core/src/mountladder/forwarding/releaser.py
+++ b/packages/core/src/mountladder/forwarding/releaser.py
@@ -13,7 +13,7 @@
 from mountladder.clocks.clock import Clock
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.upstream import Upstream
-from mountladder.notices.notice import Heard
+from mountladder.notices.notice import NoticeHandler
 
 # Results are given up in batches: soon enough that a server's room for results does not fill.
 RELEASE_MS = 25.0
@@ -43,7 +43,7 @@
         directory: Directory,
         clock: Clock,
         freed: Callable[[Sequence[str]], None],
-        heard: Heard,
+        heard: NoticeHandler,
         spared: Callable[[], frozenset[str]],
         is_kept: Callable[[str], bool],
     ) -> None:
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -22,8 +22,8 @@
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.promptplacer import PromptPlacer
 from mountladder.routing.choice import Choice
-from mountladder.routing.router import ROOMY, Router
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.router import SPILL_LOAD_FACTOR, Router
+from mountladder.routing.serverconstraints import ServerConstraints
 from mountladder.serverlimits.serverlimits import ServerLimits
 
 # When a caller may come back where no server can be used: about as long as a breaker stays open.
@@ -68,7 +68,7 @@
         self.stages: dict[str, Stage] = {}
 
     def pick(
-        self, request: ForwardRequest, service: str, budget_ms: float, wish: ServerWish
+        self, request: ForwardRequest, service: str, budget_ms: float, wish: ServerConstraints
     ) -> Picked:
         """Choose a server and record that the request is sent to it.
 
@@ -108,7 +108,7 @@
         request: ForwardRequest,
         service: str,
         budget_ms: float,
-        wish: ServerWish,
+        wish: ServerConstraints,
     ) -> Picked:
         """Choose a server that takes whatever is sent; see pick."""
         stage, length = self.stage(service), len(request.body)
@@ -128,7 +128,7 @@
         service: str,
         servers: tuple[BackendServer, ...],
         free: tuple[BackendServer, ...],
-        others: ServerWish,
+        others: ServerConstraints,
     ) -> Picked | None:
         """Use what servers with a limit take where the others are crowded, else now and then.
 
@@ -138,7 +138,7 @@
         if len(free) + len(cold) == len(servers) or not self.is_due(service, free):
             return None
         try:
-            wish = replace(others.without(cold), patience_ms=0.0)
+            wish = replace(others.without(cold), max_wait_ms=0.0)
             return self.pick_for_prompt(NO_PROMPT, service, wish)
         except RefusalError:
             log_message("limited-servers-spent", service=service, free=len(free))
@@ -149,7 +149,10 @@
         now = self.router.clock.now()
         every_ms = TRY_MS * self.placer.fleet.membership.sharing()
         due = now - self.tried.get(service, -every_ms) >= every_ms
-        if not due and min(self.router.state(one).crowding(now) for one in free) <= ROOMY:
+        if (
+            not due
+            and min(self.router.state(one).load_factor(now) for one in free) <= SPILL_LOAD_FACTOR
+        ):
             return False
         self.tried[service] = now
         return True
@@ -163,11 +166,11 @@
         """Tell whether a request may still be sent to the server that was picked for it."""
         state = picked.choice.state
         names = {one.name for one in self.directory.available(service)}
-        return state.server.name in names and state.rest_ms(self.router.clock.now()) <= 0
+        return state.server.name in names and state.backoff_ms(self.router.clock.now()) <= 0
 
     def rest_ms(self, service: str) -> float:
         """Return for how much longer all servers of a service want no requests from here, or 0."""
-        return self.router.rest_ms(self.directory.available(service))
+        return self.router.backoff_ms(self.directory.available(service))
 
     def resting(self, service: str) -> RefusalError:
         """Return the refusal of a request while all servers of its service want rest.
@@ -176,8 +179,8 @@
         """
         now = self.router.clock.now()
         states = [self.router.state(one) for one in self.directory.available(service)]
-        first = min(states, key=lambda one: one.rest_ms(now))
-        back_ms = first.rest_ms(now) + RETURN_PART * (now - first.rests_since)
+        first = min(states, key=lambda one: one.backoff_ms(now))
+        back_ms = first.backoff_ms(now) + RETURN_PART * (now - first.backoff_since)
         return RefusalError("", Code.SERVERS_RESTING, retry_after_ms=back_ms)
 
     def check_servers(self, service: str) -> None:
@@ -202,7 +205,7 @@
         code = Code.DATACENTRES_DRAINED if drained else Code.NO_SERVER_AVAILABLE
         return RefusalError("", code, retry_after_ms=NO_SERVER_RETRY_MS)
 
-    def pick_for_prompt(self, prompt: Prompt, service: str, wish: ServerWish) -> Picked:
+    def pick_for_prompt(self, prompt: Prompt, service: str, wish: ServerConstraints) -> Picked:
         """Choose a server where the prompts of its service meet; see pick."""
         servers = {one.name: one for one in self.directory.available(service)}
         wish = wish.without(self.out_of_use(servers.values()))
@@ -219,7 +222,7 @@
         state = self.router.state(server)
         state.begin(now)
         expected_ms, compared = reply.expected_ms, len(servers) - len(wish.excluded)
-        crowding = state.crowding(now)
+        crowding = state.load_factor(now)
         choice = Choice(state, expected_ms, expected_ms, crowding, len(servers), compared)
         return Picked(choice, reply.number, reply.source, reply.read, now + reply.wait_ms)
 
@@ -239,9 +242,9 @@
     ) -> None:
         """Learn from a call that was answered; a stream goes on after its first event."""
         stage, length = self.stage(service), len(request.body)
-        self.router.succeeded(picked.choice, stage, length, elapsed_ms, load)
+        self.router.record_success(picked.choice, stage, length, elapsed_ms, load)
         if goes_on:
-            picked.choice.state.count(1, self.router.clock.now())
+            picked.choice.state.change_running(1, self.router.clock.now())
             self.placer.note(picked.placement, read_ms=elapsed_ms)
         else:
             self.placer.note(picked.placement, ended=True)
@@ -256,7 +259,7 @@
     ) -> None:
         """Learn from a call that failed."""
         stage = self.stage(service)
-        self.router.failed(picked.choice, code, elapsed_ms, stage, len(request.body))
+        self.router.record_failure(picked.choice, code, elapsed_ms, stage, len(request.body))
         self.placer.note(picked.placement, ended=True, gone=code in GONE)
 
     def stage(self, service: str) -> Stage:
--- a/packages/core/src/mountladder/forwarding/stagedemand.py
+++ b/packages/core/src/mountladder/forwarding/stagedemand.py
@@ -67,6 +67,6 @@
         waits = []
         for here in PLACES:
             # What comes in meanwhile and is more urgent goes first.
-            left = max(LEAST_RATE * rate, rate - self.rates.above(here))
+            left = max(LEAST_RATE * rate, rate - self.rates.rate_above(here))
             waits.append(busy_ms + sum(ahead[one] for one in range(here + 1)) / left)
         return tuple(waits)
--- a/packages/core/src/mountladder/forwarding/stageservers.py
+++ b/packages/core/src/mountladder/forwarding/stageservers.py
@@ -60,7 +60,7 @@
         if self.named_limits.limited((state.server,)):
             self.limited_call_at = call.started
         # A call is one request, however many pieces it holds.
-        self.named_limits.sent(state.server, self.service)
+        self.named_limits.record_sent(state.server, self.service)
         self.calls.setdefault(state.server.name, []).append(call)
         state.begin(call.started)
 
@@ -99,17 +99,17 @@
         servers = self.division.directory.available(self.service)
         limited = self.named_limits.limited(servers)
         spared = [one for one in servers if one.name in limited] if limited else []
-        return frozenset(one.address for one in (*spared, *self.router.resting(servers)))
+        return frozenset(one.address for one in (*spared, *self.router.backing_off(servers)))
 
     def rest_ms(self) -> float:
         """Return for how much longer all servers want no calls from here, or 0."""
-        return self.router.rest_ms(self.division.servers(self.service))
+        return self.router.backoff_ms(self.division.servers(self.service))
 
     def take_request(self, state: ServerState) -> bool:
         """Take one of the requests that a server can be sent now; tell whether there was one."""
         if self.named_limits.wait_ms(state.server, self.service) > 0:
             return False
-        self.named_limits.sent(state.server, self.service)
+        self.named_limits.record_sent(state.server, self.service)
         return True
 
     def pause(self, state: ServerState, until: float) -> None:
--- a/packages/core/src/mountladder/forwarding/turn.py
+++ b/packages/core/src/mountladder/forwarding/turn.py
@@ -11,7 +11,7 @@
 from mountladder.code import Code
 from mountladder.forwarding.finishtime import finish_ms
 from mountladder.forwarding.picked import Picked
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.serverconstraints import ServerConstraints
 
 if TYPE_CHECKING:
     from mountladder.forwarding.forwardrun import ForwardRun
@@ -89,7 +89,7 @@
     def pick(self, patience_ms: float) -> Picked:
         """Choose a server; see ServerPicker."""
         run = self.run
-        wish = ServerWish(run.excluded, run.site, patience_ms, run.urgency)
+        wish = ServerConstraints(run.excluded, run.site, patience_ms, run.urgency)
         return self.picker.pick(run.request, run.service, run.left(), wish)
 
     def patience_ms(self) -> float:
--- a/packages/core/src/mountladder/forwarding/upstream.py
+++ b/packages/core/src/mountladder/forwarding/upstream.py
@@ -14,7 +14,7 @@
 from mountladder.forwarding.piece import Piece
 from mountladder.forwarding.pieceresult import PieceResult
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
-from mountladder.notices.notice import Heard
+from mountladder.notices.notice import NoticeHandler
 
 
 class Upstream(ABC):
@@ -43,7 +43,7 @@
 
     @abstractmethod
     def run_pieces(
-        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, heard: Heard
+        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, heard: NoticeHandler
     ) -> tuple[PieceResult, ...]:
         """Have a server work on pieces and return the results in the same order.
 
@@ -65,7 +65,7 @@
         """
 
     @abstractmethod
-    def free(self, server: BackendServer, handles: Sequence[str], heard: Heard) -> None:
+    def free(self, server: BackendServer, handles: Sequence[str], heard: NoticeHandler) -> None:
         """Tell a server that results are no longer needed; nothing is raised where it fails.
 
         Args:
--- a/packages/core/src/mountladder/limits/admission.py
+++ b/packages/core/src/mountladder/limits/admission.py
@@ -25,14 +25,14 @@
 
     Args:
         clock: The clock.
-        most_running: The maximum number of running requests.
-        most_waiting: The maximum number of waiting requests.
+        max_running: The maximum number of running requests.
+        max_waiting: The maximum number of waiting requests.
     """
 
-    def __init__(self, clock: Clock, most_running: int, most_waiting: int) -> None:
+    def __init__(self, clock: Clock, max_running: int, max_waiting: int) -> None:
         self.clock = clock
-        self.most_running = most_running
-        self.most_waiting = most_waiting
+        self.max_running = max_running
+        self.max_waiting = max_waiting
         self.running: Counter[str] = Counter()
         self.total = 0
         self.waiting: list[Waiter] = []
@@ -54,8 +54,8 @@
             raise RefusalError("", Code.SHUTTING_DOWN, retry_after_ms=1_000)
         if team.most_running and self.running[team.name] >= team.most_running:
             raise RefusalError("", Code.TEAM_LIMIT, retry_after_ms=1_000)
-        if self.total < self.most_running and not self.waiting:
-            self.take(team)
+        if self.total < self.max_running and not self.waiting:
+            self.occupy(team)
             return
         waiter = Waiter(team, urgency, latest)
         self.queue(waiter)
@@ -67,7 +67,7 @@
         self.total -= 1
         self.admit()
 
-    def take(self, team: Team) -> None:
+    def occupy(self, team: Team) -> None:
         """Occupy a slot."""
         self.running[team.name] += 1
         self.total += 1
@@ -75,8 +75,8 @@
     def queue(self, waiter: Waiter) -> None:
         """Enqueue a request, and shed one where the queue is too long."""
         self.waiting.append(waiter)
-        if len(self.waiting) > self.most_waiting:
-            shed = self.heaviest()
+        if len(self.waiting) > self.max_waiting:
+            shed = self.request_to_shed()
             self.waiting.remove(shed)
             code = Code.TEAM_LIMIT if len(self.teams_waiting()) > 1 else Code.OVERLOADED
             shed.refuse(RefusalError("too many requests are waiting", code, retry_after_ms=1_000))
@@ -84,11 +84,11 @@
     def wait(self, waiter: Waiter) -> None:
         """Wait until a request is admitted or refused, or its latest time of admission passes."""
         try:
-            self.clock.wait(waiter.settled, waiter.latest - self.clock.now())
+            self.clock.wait(waiter.decided, waiter.latest - self.clock.now())
         except BaseException:
             self.withdraw(waiter)
             raise
-        if not waiter.settled.is_set():
+        if not waiter.decided.is_set():
             self.waiting.remove(waiter)
             raise RefusalError(
                 "no slot became free in time", Code.DEADLINE_UNMEETABLE, retry_after_ms=1_000
@@ -107,21 +107,21 @@
 
     def admit(self) -> None:
         """Admit waiting requests while slots are free; refuse those that are too late."""
-        while self.waiting and self.total < self.most_running:
+        while self.waiting and self.total < self.max_running:
             waiter = min(self.waiting, key=self.order)
             self.waiting.remove(waiter)
             if waiter.latest < self.clock.now():
                 waiter.refuse(RefusalError("", Code.DEADLINE_UNMEETABLE, retry_after_ms=1_000))
                 continue
-            self.take(waiter.team)
-            waiter.settled.set()
+            self.occupy(waiter.team)
+            waiter.decided.set()
 
     def order(self, waiter: Waiter) -> tuple[float, int, float]:
         """Return the sort key by which waiting requests are admitted."""
         used = self.running[waiter.team.name] / waiter.team.share
         return used, waiter.urgency, waiter.latest
 
-    def heaviest(self) -> Waiter:
+    def request_to_shed(self) -> Waiter:
         """Return the request to shed."""
         waiting = self.teams_waiting()
 
--- a/packages/core/src/mountladder/limits/rankrates.py
+++ b/packages/core/src/mountladder/limits/rankrates.py
@@ -24,17 +24,17 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.arrivals: deque[tuple[float, int, int]] = deque()
-        self.sums: Counter[int] = Counter()
+        self.amounts: Counter[int] = Counter()
 
     def add(self, rank: int, amount: int) -> None:
         """Record work that arrived."""
         self.arrivals.append((self.clock.now(), rank, amount))
-        self.sums[rank] += amount
+        self.amounts[rank] += amount
 
-    def above(self, rank: int) -> float:
+    def rate_above(self, rank: int) -> float:
         """Return the arrival rate of work of more urgent ranks, in units a millisecond."""
         horizon = self.clock.now() - WINDOW_MS
         while self.arrivals and self.arrivals[0][0] < horizon:
             _, old, amount = self.arrivals.popleft()
-            self.sums[old] -= amount
-        return sum(self.sums[one] for one in range(rank)) / WINDOW_MS
+            self.amounts[old] -= amount
+        return sum(self.amounts[one] for one in range(rank)) / WINDOW_MS
--- a/packages/core/src/mountladder/limits/retrybudget.py
+++ b/packages/core/src/mountladder/limits/retrybudget.py
@@ -11,22 +11,22 @@
     """Allows retries as a fraction of successful calls, with a small reserve for low traffic.
 
     Args:
-        share: The number of retries that each success adds.
+        ratio: The number of retries that each success adds.
         reserve: The maximum number of retries that can accumulate.
     """
 
-    def __init__(self, share: float = 0.1, reserve: float = 10.0) -> None:
-        self.share = share
+    def __init__(self, ratio: float = 0.1, reserve: float = 10.0) -> None:
+        self.ratio = ratio
         self.reserve = reserve
-        self.saved = reserve
+        self.balance = reserve
 
     def earn(self) -> None:
         """Record a success."""
-        self.saved = min(self.reserve, self.saved + self.share)
+        self.balance = min(self.reserve, self.balance + self.ratio)
 
     def spend(self) -> bool:
         """Take one retry out of the budget; return whether it had one."""
-        if self.saved < 1.0:
+        if self.balance < 1.0:
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         return True
--- a/packages/core/src/mountladder/limits/usage.py
+++ b/packages/core/src/mountladder/limits/teamusage.py
@@ -1,4 +1,4 @@
-# usage.py -- Recent work of each team compared with its share
+# teamusage.py -- Recent work of each team compared with its share
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,10 +10,10 @@
 from mountladder.configuration.team import Team
 
 HALF_LIFE_MS = 2_000.0
-LEAST = 1e-6
+MIN_WORK_MS = 1e-6
 
 
-class Usage:
+class TeamUsage:
     """Tracks the recently admitted work of each team, compared with its share.
 
     Each instance counts only the work that it admitted itself. Callers are spread over the
@@ -27,11 +27,11 @@
         self.clock = clock
         self.work: dict[str, float] = {}
         self.shares: dict[str, float] = {}
-        self.faded_at = 0.0
+        self.decayed_at = 0.0
 
     def add(self, team: Team, work_ms: float) -> None:
         """Record work that is admitted for a team, in milliseconds of stage time."""
-        self.fade()
+        self.decay()
         self.work[team.name] = self.work.get(team.name, 0.0) + work_ms
         self.shares[team.name] = team.share
 
@@ -40,23 +40,23 @@
 
         1 is exactly its share; a single active team never exceeds it.
         """
-        self.fade()
+        self.decay()
         total = sum(self.work.values())
         if not total:
             return 0.0
         shares = sum(self.shares.values())
         if team.name not in self.shares:
             shares += team.share
-        part = self.work.get(team.name, 0.0) / total
-        return part / (team.share / shares)
+        fraction = self.work.get(team.name, 0.0) / total
+        return fraction / (team.share / shares)
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Decay the recorded work, and drop teams that have almost none left."""
         now = self.clock.now()
-        factor = 0.5 ** ((now - self.faded_at) / HALF_LIFE_MS)
-        self.faded_at = now
+        factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_MS)
+        self.decayed_at = now
         for name in list(self.work):
             self.work[name] *= factor
-            if self.work[name] < LEAST:
+            if self.work[name] < MIN_WORK_MS:
                 del self.work[name]
                 del self.shares[name]
--- a/packages/core/src/mountladder/limits/waiter.py
+++ b/packages/core/src/mountladder/limits/waiter.py
@@ -19,7 +19,7 @@
         team: Its team.
         urgency: Its pipeline's urgency; a lower number is shed later.
         latest: The latest time of admission, in the clock's milliseconds.
-        settled: Set once it was admitted or refused.
+        decided: Set once it was admitted or refused.
         refusal: Why it was refused, or None.
     """
 
@@ -27,10 +27,10 @@
         self.team = team
         self.urgency = urgency
         self.latest = latest
-        self.settled = Event()
+        self.decided = Event()
         self.refusal: RefusalError | None = None
 
     def refuse(self, refusal: RefusalError) -> None:
         """Refuse the request and wake its greenlet."""
         self.refusal = refusal
-        self.settled.set()
+        self.decided.set()
--- a/packages/core/src/mountladder/limits/windowbudget.py
+++ b/packages/core/src/mountladder/limits/windowbudget.py
@@ -42,15 +42,15 @@
     def spend(self) -> bool:
         """Take one retry out of the budget; return whether it had one."""
         now = self.clock.now()
-        self.drop(self.requests, now)
-        self.drop(self.retries, now)
+        self.expire(self.requests, now)
+        self.expire(self.retries, now)
         allowed = self.ratio * len(self.requests) + self.reserve()
         if len(self.retries) + 1 > allowed:
             return False
         self.retries.append(now)
         return True
 
-    def drop(self, times: deque[float], now: float) -> None:
+    def expire(self, times: deque[float], now: float) -> None:
         """Drop times that are older than the window."""
         while times and times[0] < now - self.window_ms:
             times.popleft()
--- a/packages/core/src/mountladder/notices/rest.py
+++ b/packages/core/src/mountladder/notices/backoff.py
@@ -1,4 +1,4 @@
-# rest.py -- Notice that asks one instance to back off from a backend server
+# backoff.py -- Notice that asks one instance to back off from a backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
+class BackOff:
     """Notice that a backend server wants no requests from the answered instance for a time.
 
     Attributes:
--- a/packages/core/src/mountladder/notices/notice.py
+++ b/packages/core/src/mountladder/notices/notice.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Sequence
 
 from mountladder.configuration.backendserver import BackendServer
+from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
 from mountladder.notices.ratelimit import RateLimit
-from mountladder.notices.rest import Rest
 
 # Shared notices concern all instances; the others concern only the instance that is answered.
 Shared = RateLimit | Leaving
-Notice = Shared | Rest
+Notice = Shared | BackOff
 # Called with the server, the notices in its answer, and when the answered request was sent.
-Heard = Callable[[BackendServer, Sequence[Notice], float], None]
+NoticeHandler = Callable[[BackendServer, Sequence[Notice], float], None]
--- a/packages/core/src/mountladder/notices/noticeboard.py
+++ b/packages/core/src/mountladder/notices/noticedispatcher.py
@@ -1,4 +1,4 @@
-# noticeboard.py -- Dispatches the notices in answers of backend servers
+# noticedispatcher.py -- Dispatches the notices in answers of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -16,16 +16,16 @@
 from mountladder.forwarding.directory import Directory
 from mountladder.membership.linkkeeper import LinkKeeper
 from mountladder.metrics.metrics import Metrics
+from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
 from mountladder.notices.notice import Notice
-from mountladder.notices.noticebook import NoticeBook
 from mountladder.notices.noticeexchange import NoticeExchange
+from mountladder.notices.noticeregistry import NoticeRegistry
 from mountladder.notices.ratelimit import RateLimit
-from mountladder.notices.rest import Rest
 from mountladder.routing.router import Router
 
 
-class NoticeBoard:
+class NoticeDispatcher:
     """Passes each notice in an answer to the component that acts on it.
 
     Args:
@@ -36,7 +36,7 @@
         metrics: Reports the numbers of limited and leaving servers.
 
     Attributes:
-        book: The shared notices in force.
+        registry: The shared notices in force.
     """
 
     def __init__(
@@ -48,13 +48,13 @@
         metrics: Metrics,
     ) -> None:
         self.router = router
-        self.book = NoticeBook(clock, metrics)
-        self.book.listed = directory.names
-        self.book.on_leaving = directory.renew
-        directory.leaving_since = self.book.leaving_since
-        self.exchange = NoticeExchange(keeper, self.book, clock)
+        self.registry = NoticeRegistry(clock, metrics)
+        self.registry.listed = directory.names
+        self.registry.on_leaving = directory.renew
+        directory.leaving_since = self.registry.leaving_since
+        self.exchange = NoticeExchange(keeper, self.registry, clock)
 
-    def hear(self, server: BackendServer, notices: Sequence[Notice], sent_at: float) -> None:
+    def dispatch(self, server: BackendServer, notices: Sequence[Notice], sent_at: float) -> None:
         """Process the notices in an answer.
 
         Args:
@@ -63,10 +63,10 @@
             sent_at: When the answered request was sent, in the clock's milliseconds.
         """
         for notice in notices:
-            self.take(notice, server, sent_at)
+            self.handle(notice, server, sent_at)
 
     @singledispatchmethod
-    def take(self, notice: object, server: BackendServer, sent_at: float) -> None:
+    def handle(self, notice: object, server: BackendServer, sent_at: float) -> None:
         """Process one notice.
 
         Raises:
@@ -74,11 +74,11 @@
         """
         raise TypeError(f"not a notice: {notice!r}")
 
-    @take.register
+    @handle.register
     def _(self, notice: RateLimit | Leaving, server: BackendServer, sent_at: float) -> None:
-        self.book.hear(server, notice, sent_at)
+        self.registry.record(server, notice, sent_at)
 
-    @take.register
-    def _(self, notice: Rest, server: BackendServer, sent_at: float) -> None:
-        self.router.rest(server, notice.for_ms)
+    @handle.register
+    def _(self, notice: BackOff, server: BackendServer, sent_at: float) -> None:
+        self.router.back_off(server, notice.for_ms)
         log_message("server-backoff", server=server.name, for_ms=round(notice.for_ms))
--- a/packages/core/src/mountladder/notices/noticeexchange.py
+++ b/packages/core/src/mountladder/notices/noticeexchange.py
@@ -11,7 +11,7 @@
 from mountladder.clocks.clock import Clock
 from mountladder.membership.linkkeeper import LinkKeeper
 from mountladder.membership.newsexchange import NewsExchange
-from mountladder.notices.noticebook import NoticeBook
+from mountladder.notices.noticeregistry import NoticeRegistry
 from mountladder.notices.servernotice import ServerNotice
 from mountladder.notices.servernotices import ServerNotices
 
@@ -21,18 +21,18 @@
 
     Args:
         keeper: Maintains the links to the other instances.
-        book: The notices in force at this instance.
+        registry: The notices in force at this instance.
         clock: The clock.
     """
 
-    def __init__(self, keeper: LinkKeeper, book: NoticeBook, clock: Clock) -> None:
+    def __init__(self, keeper: LinkKeeper, registry: NoticeRegistry, clock: Clock) -> None:
         super().__init__(keeper, clock, ServerNotices)
-        self.book = book
-        book.on_news = self.tell
+        self.registry = registry
+        registry.on_announce = self.tell
 
     def known(self) -> Iterable[ServerNotice]:
         """Return all notices in force; see NewsExchange."""
-        return self.book.all()
+        return self.registry.all()
 
     def as_ages(self, entry: ServerNotice, now: float) -> ServerNotice:
         """Return a notice in the form in which it is sent; see NewsExchange."""
@@ -40,4 +40,4 @@
 
     def take_in(self, entries: Sequence[ServerNotice], now: float, source: str) -> None:
         """Merge notices from a peer; see NewsExchange."""
-        self.book.take([one.told(now) for one in entries], source)
+        self.registry.merge([one.from_ages(now) for one in entries], source)
--- a/packages/core/src/mountladder/notices/description.py
+++ b/packages/core/src/mountladder/notices/noticelog.py
@@ -1,4 +1,4 @@
-# description.py -- Log lines about notices of backend servers
+# noticelog.py -- Log lines about notices of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -14,7 +14,7 @@
 
 
 @singledispatch
-def described(notice: object, before: Shared | None) -> tuple[str, dict[str, object]]:
+def log_line(notice: object, before: Shared | None) -> tuple[str, dict[str, object]]:
     """Return the type and the fields of the log line about a changed notice.
 
     Args:
@@ -24,16 +24,16 @@
     raise TypeError(f"not a shared notice: {notice!r}")
 
 
-@described.register
+@log_line.register
 def _(notice: RateLimit, before: RateLimit | None) -> tuple[str, dict[str, object]]:
-    before_per_s = None if before is None else _shown(before.per_s)
-    return "server-limit", {"per_s": _shown(notice.per_s), "before_per_s": before_per_s}
+    before_per_s = None if before is None else _loggable(before.per_s)
+    return "server-limit", {"per_s": _loggable(notice.per_s), "before_per_s": before_per_s}
 
 
-@described.register
+@log_line.register
 def _(notice: Leaving, before: Leaving | None) -> tuple[str, dict[str, object]]:
     return "server-leaving", {}
 
 
-def _shown(per_s: float) -> float | None:
+def _loggable(per_s: float) -> float | None:
     return None if per_s == UNLIMITED else per_s
--- a/packages/core/src/mountladder/notices/noticebook.py
+++ b/packages/core/src/mountladder/notices/noticeregistry.py
@@ -1,4 +1,4 @@
-# noticebook.py -- Shared notices of backend servers in force
+# noticeregistry.py -- Shared notices of backend servers in force
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -15,22 +15,22 @@
 from mountladder.configuration.backendserver import BackendServer
 from mountladder.metrics.metric import Metric
 from mountladder.metrics.metrics import Metrics
-from mountladder.notices.description import described
 from mountladder.notices.leaving import Leaving
 from mountladder.notices.notice import Shared
-from mountladder.notices.precedence import differs, is_usual, kept_ms, replaces
+from mountladder.notices.noticelog import log_line
+from mountladder.notices.precedence import differs_significantly, is_default, replaces, retention_ms
 from mountladder.notices.ratelimit import UNLIMITED, RateLimit
 from mountladder.notices.servernotice import ServerNotice
 
 # A notice that answers repeat is announced again after this time, so that instances that ordered
 # two answers differently converge.
-TELL_AGAIN_MS = 5_000.0
+REANNOUNCE_MS = 5_000.0
 # The maximum number of servers per kind of notice, about half of the 2,100 servers planned for.
 # Listed servers that are leaving are kept beyond that.
-MOST_SERVERS = 1_024
+MAX_SERVERS = 1_024
 
 
-class NoticeBook:
+class NoticeRegistry:
     """Holds the latest shared notice of each kind and server, from answers to any instance.
 
     A notice in an answer is announced to all instances at once, and an instance for which it is a
@@ -46,8 +46,8 @@
         leaving: The notices of leaving servers, by the server's name.
         listed: Returns the names of the servers in the platform's table.
         on_leaving: Called after a server has newly been found to be leaving.
-        on_news: Called with notices to announce to other instances, and with the name of the peer
-            that sent them, or an empty string.
+        on_announce: Called with notices to announce to other instances, and with the name of the
+            peer that sent them, or an empty string.
     """
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
@@ -55,11 +55,13 @@
         self.metrics = metrics
         self.limits: dict[str, ServerNotice] = {}
         self.leaving: dict[str, ServerNotice] = {}
-        self.kinds = {RateLimit: self.limits, Leaving: self.leaving}
-        self.told_at: dict[str, float] = {}
+        self.by_kind = {RateLimit: self.limits, Leaving: self.leaving}
+        self.announced_at: dict[str, float] = {}
         self.listed: Callable[[], frozenset[str]] = frozenset
         self.on_leaving: Callable[[], None] = lambda: None
-        self.on_news: Callable[[Sequence[ServerNotice], str], None] = lambda news, source: None
+        self.on_announce: Callable[[Sequence[ServerNotice], str], None] = (
+            lambda notices, source: None
+        )
 
     def per_s(self, server: str) -> float:
         """Return a server's rate limit over all instances, in requests a second, or UNLIMITED."""
@@ -73,13 +75,13 @@
 
     def all(self) -> list[ServerNotice]:
         """Return all notices in force."""
-        return [one for kind in self.kinds.values() for one in kind.values()]
+        return [one for kind in self.by_kind.values() for one in kind.values()]
 
-    def known(self, told: ServerNotice) -> ServerNotice | None:
+    def in_force(self, received: ServerNotice) -> ServerNotice | None:
         """Return the notice in force of the same kind and server, or None."""
-        return self.kinds[type(told.notice)].get(told.server)
+        return self.by_kind[type(received.notice)].get(received.server)
 
-    def hear(self, server: BackendServer, notice: Shared, sent_at: float) -> None:
+    def record(self, server: BackendServer, notice: Shared, sent_at: float) -> None:
         """Apply a notice in an answer of a server, and announce it where others need it.
 
         Args:
@@ -88,67 +90,70 @@
             sent_at: When the answered request was sent, in the clock's milliseconds.
         """
         now = self.clock.now()
-        told = ServerNotice(server.name, notice, sent_at, now)
-        known = self.known(told)
-        if not self.is_news(told):
+        received = ServerNotice(server.name, notice, sent_at, now)
+        known = self.in_force(received)
+        if not self.is_accepted(received):
             return
-        self.put(told, "answer")
-        is_due = now - self.told_at.get(server.name, now) >= TELL_AGAIN_MS
-        if known is None or differs(notice, known.notice) or is_due:
-            self.told_at[server.name] = now
-            self.on_news([told], "")
+        self.put_in_force(received, "answer")
+        is_due = now - self.announced_at.get(server.name, now) >= REANNOUNCE_MS
+        if known is None or differs_significantly(notice, known.notice) or is_due:
+            self.announced_at[server.name] = now
+            self.on_announce([received], "")
 
-    def take(self, notices: Sequence[ServerNotice], source: str) -> None:
+    def merge(self, notices: Sequence[ServerNotice], source: str) -> None:
         """Merge the notices of a peer, given its name, and forward those that are changes."""
-        news = [one for one in notices if self.is_news(one)]
-        changes = [one for one in news if self.is_change(one)]
-        for one in news:
-            self.put(one, f"peer {source}")
+        accepted = [one for one in notices if self.is_accepted(one)]
+        changes = [one for one in accepted if self.is_significant(one)]
+        for one in accepted:
+            self.put_in_force(one, f"peer {source}")
         if changes:
-            self.on_news(changes, source)
+            self.on_announce(changes, source)
 
-    def is_news(self, told: ServerNotice) -> bool:
+    def is_accepted(self, received: ServerNotice) -> bool:
         """Return whether a notice replaces the one in force."""
-        known = self.known(told)
+        known = self.in_force(received)
         if known is None:
-            return not is_usual(told.notice)
-        return replaces(told.notice, told, known)
+            return not is_default(received.notice)
+        return replaces(received.notice, received, known)
 
-    def is_change(self, told: ServerNotice) -> bool:
+    def is_significant(self, received: ServerNotice) -> bool:
         """Return whether a notice differs enough from the one in force to be announced."""
-        known = self.known(told)
-        return known is None or differs(told.notice, known.notice)
+        known = self.in_force(received)
+        return known is None or differs_significantly(received.notice, known.notice)
 
-    def put(self, told: ServerNotice, source: str) -> None:
+    def put_in_force(self, received: ServerNotice, source: str) -> None:
         """Put a notice in force, and log a change."""
-        known = self.known(told)
-        self.kinds[type(told.notice)][told.server] = told
-        if known is not None and known.notice == told.notice:
+        known = self.in_force(received)
+        self.by_kind[type(received.notice)][received.server] = received
+        if known is not None and known.notice == received.notice:
             return
-        self.forget_old(self.kinds[type(told.notice)])
+        self.evict(self.by_kind[type(received.notice)])
         before = known.notice if known is not None else None
-        event, fields = described(told.notice, before)
-        sent_ms_ago = round(self.clock.now() - told.sent_at)
-        log_message(event, server=told.server, **fields, sent_ms_ago=sent_ms_ago, source=source)
-        self.count()
-        if isinstance(told.notice, Leaving):
+        event, fields = log_line(received.notice, before)
+        sent_ms_ago = round(self.clock.now() - received.sent_at)
+        log_message(event, server=received.server, **fields, sent_ms_ago=sent_ms_ago, source=source)
+        self.report_counts()
+        if isinstance(received.notice, Leaving):
             self.on_leaving()
 
-    def count(self) -> None:
+    def report_counts(self) -> None:
         """Report the numbers of limited and leaving servers."""
-        limited = sum(not is_usual(one.notice) for one in self.limits.values())
+        limited = sum(not is_default(one.notice) for one in self.limits.values())
         self.metrics.gauge(Metric.LIMITED_SERVERS, limited)
         self.metrics.gauge(Metric.LEAVING_SERVERS, len(self.leaving))
 
-    def forget_old(self, kind: dict[str, ServerNotice]) -> None:
+    def evict(self, kind: dict[str, ServerNotice]) -> None:
         """Drop notices past their retention time, or else the oldest of too many."""
         now, listed = self.clock.now(), self.listed()
-        until = {
-            name: one.seen_at + kept_ms(one.notice, name in listed) for name, one in kind.items()
+        kept_until = {
+            name: one.seen_at + retention_ms(one.notice, name in listed)
+            for name, one in kind.items()
         }
-        ordered = sorted((name for name in kind if until[name] < math.inf), key=until.__getitem__)
-        late = [name for name in ordered if until[name] <= now]
-        for name in late or ordered[: max(0, len(kind) - MOST_SERVERS)]:
+        ordered = sorted(
+            (name for name in kind if kept_until[name] < math.inf), key=kept_until.__getitem__
+        )
+        expired = [name for name in ordered if kept_until[name] <= now]
+        for name in expired or ordered[: max(0, len(kind) - MAX_SERVERS)]:
             del kind[name]
         known = {one.server for one in self.all()}
-        self.told_at = {name: at for name, at in self.told_at.items() if name in known}
+        self.announced_at = {name: at for name, at in self.announced_at.items() if name in known}
--- a/packages/core/src/mountladder/notices/precedence.py
+++ b/packages/core/src/mountladder/notices/precedence.py
@@ -14,59 +14,59 @@
 from mountladder.notices.servernotice import ServerNotice
 
 # A limit that changes by no more than this fraction is not worth a message to all instances.
-TOLD_CHANGE = 0.1
+MIN_CHANGE_FRACTION = 0.1
 # A notice that was not repeated for this long is of a server that is gone or gets no requests. A
 # lifted limit is kept for a shorter time, for as long as older answers may still arrive.
-FORGET_MS = 600_000.0
-FORGET_END_MS = 60_000.0
+RETENTION_MS = 600_000.0
+LIFTED_RETENTION_MS = 60_000.0
 
 
 @singledispatch
-def replaces(notice: object, told: ServerNotice, known: ServerNotice) -> bool:
+def replaces(notice: object, received: ServerNotice, known: ServerNotice) -> bool:
     """Return whether a received notice replaces the one in force of the same kind.
 
     Args:
         notice: The received notice.
-        told: The received notice with its times.
+        received: The received notice with its times.
         known: The notice in force.
     """
     raise TypeError(f"not a shared notice: {notice!r}")
 
 
 @replaces.register
-def _(notice: RateLimit, told: ServerNotice, known: ServerNotice) -> bool:
+def _(notice: RateLimit, received: ServerNotice, known: ServerNotice) -> bool:
     # Where it is uncertain which notice is newer, the lower limit wins: it protects an overloaded
     # server until the next answer decides.
     is_lower = notice.per_s < known.notice.per_s
-    return told.is_newer(known) or (is_lower and told.seen_at > known.sent_at)
+    return received.is_newer(known) or (is_lower and received.seen_at > known.sent_at)
 
 
 @replaces.register
-def _(notice: Leaving, told: ServerNotice, known: ServerNotice) -> bool:
+def _(notice: Leaving, received: ServerNotice, known: ServerNotice) -> bool:
     # Leaving is final: the server has another name after its next start.
     return False
 
 
 @singledispatch
-def differs(notice: object, known: object) -> bool:
+def differs_significantly(notice: object, known: object) -> bool:
     """Return whether a notice differs enough from the previous one to be announced at once."""
     raise TypeError(f"not a shared notice: {notice!r}")
 
 
-@differs.register
+@differs_significantly.register
 def _(notice: RateLimit, known: RateLimit) -> bool:
     if UNLIMITED in (notice.per_s, known.per_s):
         return notice.per_s != known.per_s
-    return abs(notice.per_s - known.per_s) > TOLD_CHANGE * known.per_s
+    return abs(notice.per_s - known.per_s) > MIN_CHANGE_FRACTION * known.per_s
 
 
-@differs.register
+@differs_significantly.register
 def _(notice: Leaving, known: Leaving) -> bool:
     return False
 
 
 @singledispatch
-def kept_ms(notice: object, is_listed: bool) -> float:
+def retention_ms(notice: object, is_listed: bool) -> float:
     """Return for how long a notice is kept that is not repeated, in milliseconds.
 
     Args:
@@ -76,23 +76,23 @@
     raise TypeError(f"not a shared notice: {notice!r}")
 
 
-@kept_ms.register
+@retention_ms.register
 def _(notice: RateLimit, is_listed: bool) -> float:
-    return FORGET_END_MS if is_usual(notice) else FORGET_MS
+    return LIFTED_RETENTION_MS if is_default(notice) else RETENTION_MS
 
 
-@kept_ms.register
+@retention_ms.register
 def _(notice: Leaving, is_listed: bool) -> float:
     # The server's row may be removed and added again while the server keeps running.
-    return math.inf if is_listed else FORGET_MS
+    return math.inf if is_listed else RETENTION_MS
 
 
 @singledispatch
-def is_usual(notice: object) -> bool:
+def is_default(notice: object) -> bool:
     """Return whether a notice equals the default of a server without notices."""
     return False
 
 
-@is_usual.register
+@is_default.register
 def _(notice: RateLimit) -> bool:
     return notice.per_s == UNLIMITED
--- a/packages/core/src/mountladder/notices/servernotice.py
+++ b/packages/core/src/mountladder/notices/servernotice.py
@@ -11,7 +11,7 @@
 from mountladder.notices.notice import Shared
 
 # A message between two instances arrives within this time, or it is lost with its link.
-WAY_MS = 100.0
+MAX_TRANSIT_MS = 100.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,9 @@
         """Return the same with times relative to now, so negative, for sending to a peer."""
         return replace(self, sent_at=self.sent_at - now, seen_at=self.seen_at - now)
 
-    def told(self, now: float) -> ServerNotice:
+    def from_ages(self, now: float) -> ServerNotice:
         """Return a received notice with its relative times converted to this instance's clock."""
         sent_at, seen_at = self.sent_at + now, self.seen_at + now
-        return replace(self, sent_at=sent_at, seen_at=seen_at, slack_ms=self.slack_ms + WAY_MS)
+        return replace(
+            self, sent_at=sent_at, seen_at=seen_at, slack_ms=self.slack_ms + MAX_TRANSIT_MS
+        )
--- a/packages/core/src/mountladder/requests/attempts.py
+++ b/packages/core/src/mountladder/requests/attempts.py
@@ -114,7 +114,7 @@
     def give_up_early(self, choice: Choice, tries: Tries, remaining: float) -> None:
         """Raise where even the chosen server is not expected to finish in time by far."""
         if choice.expected_ms > GIVE_UP * remaining and self.may_repeat(tries.stage):
-            self.context.router.withdraw(choice)
+            self.context.router.cancel(choice)
             detail = f"it was expected to take {choice.expected_ms:.0f} ms"
             raise StageError(detail, Code.DEADLINE_PASSED, False)
 
@@ -159,9 +159,9 @@
         self.mark_dispatched()
         stage = tries.stage
         elapsed = self.elapsed(attempt)
-        self.context.router.succeeded(attempt.choice, stage, len(tries.body), elapsed, load)
+        self.context.router.record_success(attempt.choice, stage, len(tries.body), elapsed, load)
         whole = self.context.clock.now() - tries.started
-        self.context.costs.record_whole(self.request.pipeline.name, stage, whole)
+        self.context.costs.record_total(self.request.pipeline.name, stage, whole)
         self.context.budgets[self.budget_name(stage)].earn()
         late = self.context.clock.now() > self.request.deadline
         cost = self.charge(attempt, "late" if late else "useful")
@@ -183,7 +183,7 @@
         if self.context.clock.now() >= self.request.deadline:
             error = StageError(error.detail, Code.DEADLINE_PASSED, error.dispatched)
         server = attempt.choice.state.server
-        self.context.router.failed(
+        self.context.router.record_failure(
             attempt.choice, error.code, self.elapsed(attempt), stage, len(tries.body)
         )
         self.charge(attempt, "late" if error.code is Code.DEADLINE_PASSED else "retried")
@@ -217,7 +217,7 @@
         """Record an attempt that was given up from outside, and cancel it at its server."""
         self.mark_dispatched()
         stage, body = attempt.call.stage, attempt.call.body
-        self.context.router.failed(attempt.choice, Code.CANCELLED, 0.0, stage, len(body))
+        self.context.router.record_failure(attempt.choice, Code.CANCELLED, 0.0, stage, len(body))
         self.charge(attempt, "cancelled")
         server = attempt.choice.state.server.name
         code = Code.CANCELLED.number
--- a/packages/core/src/mountladder/requests/gateway.py
+++ b/packages/core/src/mountladder/requests/gateway.py
@@ -19,7 +19,7 @@
 from mountladder.configuration.team import Team
 from mountladder.errors import MountladderError, RefusalError
 from mountladder.limits.admission import Admission
-from mountladder.limits.usage import Usage
+from mountladder.limits.teamusage import TeamUsage
 from mountladder.metrics.metric import Metric
 from mountladder.requests.callerrequest import CallerRequest
 from mountladder.requests.chunk import Chunk
@@ -71,7 +71,7 @@
         self.admission = admission
         self.idempotency = idempotency
         self.traces = traces
-        self.usage = Usage(context.clock)
+        self.usage = TeamUsage(context.clock)
         self.runs = Group()
         self.numbers = itertools.count(1)
         self.probed_at: dict[str, float] = {}
@@ -201,7 +201,7 @@
         now = self.context.clock.now()
         expected = estimate(self.context, request)
         excess = max(1.0, self.usage.excess(request.team) / TOLERATED) ** SEVERITY
-        weighed = expected.unloaded_ms + expected.crowded_ms * excess
+        weighed = expected.unloaded_ms + expected.load_delay_ms * excess
         remaining = request.deadline - now
         hopeless = expected.expected_ms > HOPELESS * remaining
         if weighed > MARGIN * remaining and (
--- a/packages/core/src/mountladder/requests/pipelinerun.py
+++ b/packages/core/src/mountladder/requests/pipelinerun.py
@@ -23,7 +23,7 @@
 from mountladder.requests.stageplan import levels
 from mountladder.requests.trace import Trace
 from mountladder.requests.tries import Tries
-from mountladder.routing.pace import Pace
+from mountladder.routing.tokeninterval import TokenInterval
 
 # When a caller may come back where nothing tells it better.
 USUAL_BACK_MS = 1_000.0
@@ -95,12 +95,12 @@
         tries = Tries(stage, self.body(stage), self.context.clock.now())
         while stage.name not in self.results:
             attempt = self.attempts.begin(tries, self.left())
-            pace = Pace(self.context, attempt)
+            interval = TokenInterval(self.context, attempt)
             load = None
             with self.attempts.watched(attempt, tries):
                 for chunk in self.context.backend.stream(attempt.choice.state.server, attempt.call):
                     load = chunk.load
-                    pace.take(chunk)
+                    interval.add(chunk)
                     tries.tokens += chunk.count
                     self.events.append(chunk.events)
                     yield chunk
--- a/packages/core/src/mountladder/requests/stageplan.py
+++ b/packages/core/src/mountladder/requests/stageplan.py
@@ -36,7 +36,7 @@
         return stage.share * pipeline.deadline_ms
     histogram = costs.histograms.get((pipeline.name, stage.name))
     if histogram is None:
-        return costs.any_accelerator(stage, 0)
+        return costs.least_expected(stage, 0)
     return histogram.quantile(QUANTILE)
 
 
--- a/packages/core/src/mountladder/routing/breaker.py
+++ b/packages/core/src/mountladder/routing/breaker.py
@@ -8,8 +8,8 @@
 
 import random
 
-FIRST_PAUSE_MS = 1_000.0
-LONGEST_PAUSE_MS = 30_000.0
+INITIAL_OPEN_MS = 1_000.0
+MAX_OPEN_MS = 30_000.0
 FAILURES_TO_OPEN = 3
 
 
@@ -25,38 +25,38 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.failures = 0
-        self.pause_ms = FIRST_PAUSE_MS
+        self.open_ms = INITIAL_OPEN_MS
         self.open_until = 0.0
-        self.trying = False
+        self.probing = False
 
     def allows(self, now: float) -> bool:
         """Return whether a call may be sent at a time."""
         if self.failures < FAILURES_TO_OPEN:
             return True
-        return now >= self.open_until and not self.trying
+        return now >= self.open_until and not self.probing
 
     def begin(self) -> None:
         """Record that a call is sent; it is a probe where the breaker has opened."""
-        self.trying = self.failures >= FAILURES_TO_OPEN
+        self.probing = self.failures >= FAILURES_TO_OPEN
 
     def succeed(self) -> None:
         """Record a success, which closes the breaker and resets the open period."""
         self.failures = 0
-        self.pause_ms = FIRST_PAUSE_MS
-        self.trying = False
+        self.open_ms = INITIAL_OPEN_MS
+        self.probing = False
 
     def abandon(self) -> None:
         """Record the end of a call whose outcome says nothing about the server's health."""
-        self.trying = False
+        self.probing = False
 
     def fail(self, now: float) -> bool:
         """Record a failure; return whether it opened the breaker."""
         self.failures += 1
-        self.trying = False
+        self.probing = False
         if self.failures < FAILURES_TO_OPEN:
             return False
-        self.open_until = now + self.pause_ms * self.rng.uniform(0.8, 1.2)
-        self.pause_ms = min(LONGEST_PAUSE_MS, self.pause_ms * 2)
+        self.open_until = now + self.open_ms * self.rng.uniform(0.8, 1.2)
+        self.open_ms = min(MAX_OPEN_MS, self.open_ms * 2)
         return True
 
     def trip(self, now: float) -> None:
--- a/packages/core/src/mountladder/routing/candidate.py
+++ b/packages/core/src/mountladder/routing/candidate.py
@@ -18,14 +18,14 @@
     Attributes:
         state: The instance's view of the server.
         unloaded_ms: The learnt time of this call on the unloaded server, in milliseconds.
-        crowding: The factor by which its estimated load lengthens the call, at least 1.
+        load_factor: The factor by which its estimated load lengthens the call, at least 1.
         slowness: The ratio of its observed to its expected call times, at least 1.
         delay_ms: The time that a call to another data centre adds, in milliseconds.
     """
 
     state: ServerState
     unloaded_ms: float
-    crowding: float
+    load_factor: float
     slowness: float
     delay_ms: float = 0.0
 
@@ -34,13 +34,13 @@
         cls, state: ServerState, unloaded_ms: float, now: float, delay_ms: float = 0.0
     ) -> Candidate:
         """Return a candidate with the server's estimated load and slowness at a time."""
-        crowding, slowness = state.crowding(now), state.slowness_at(now)
-        return cls(state, unloaded_ms, crowding, slowness, delay_ms)
+        load_factor, slowness = state.load_factor(now), state.slowness_at(now)
+        return cls(state, unloaded_ms, load_factor, slowness, delay_ms)
 
     @property
     def expected_ms(self) -> float:
         """Return the expected time to completion under its estimated load, in milliseconds."""
-        return self.unloaded_ms * self.crowding * self.slowness + self.delay_ms
+        return self.unloaded_ms * self.load_factor * self.slowness + self.delay_ms
 
     @property
     def cost(self) -> float:
--- a/packages/core/src/mountladder/routing/choice.py
+++ b/packages/core/src/mountladder/routing/choice.py
@@ -20,7 +20,7 @@
         state: The instance's view of the server.
         expected_ms: The expected time to completion, in milliseconds.
         unloaded_ms: The expected time on the unloaded server, in milliseconds.
-        crowding: The factor by which its estimated load lengthens the call, at least 1.
+        load_factor: The factor by which its estimated load lengthens the call, at least 1.
         allowed: The number of servers that the selectors allow.
         compared: The number of usable servers that were compared.
     """
@@ -28,7 +28,7 @@
     state: ServerState
     expected_ms: float
     unloaded_ms: float
-    crowding: float
+    load_factor: float
     allowed: int
     compared: int
 
@@ -39,7 +39,7 @@
             chosen.state,
             chosen.expected_ms,
             chosen.unloaded_ms,
-            chosen.crowding,
+            chosen.load_factor,
             allowed,
             compared,
         )
@@ -47,6 +47,6 @@
     def reason(self) -> str:
         """Return why the server was chosen, for the request's trace."""
         return (
-            f"expected {self.expected_ms:.0f} ms, load factor {self.crowding:.1f}, "
+            f"expected {self.expected_ms:.0f} ms, load factor {self.load_factor:.1f}, "
             f"{self.compared} of {self.allowed} allowed servers compared"
         )
--- a/packages/core/src/mountladder/routing/costmodel.py
+++ b/packages/core/src/mountladder/routing/costmodel.py
@@ -10,9 +10,9 @@
 from mountladder.metrics.histogram import Histogram
 
 DEFAULT_MS = 50.0
-WEIGHT_DOWN = 0.3
-WEIGHT_UP = 0.05
-LONGER = 1.2
+DECREASE_WEIGHT = 0.3
+INCREASE_WEIGHT = 0.05
+TIMEOUT_FACTOR = 1.2
 
 
 class CostModel:
@@ -25,14 +25,14 @@
     Attributes:
         means: The smoothed unloaded times in milliseconds, by length class, for each work, model
             and accelerator.
-        gaps: The smoothed unloaded time between two tokens in milliseconds, by model and
+        token_intervals: The smoothed unloaded time between two tokens in milliseconds, by model and
             accelerator.
         histograms: The total times of each pipeline's stages, queueing and retries included.
     """
 
     def __init__(self) -> None:
         self.means: dict[tuple[str, str, str], dict[int, float]] = {}
-        self.gaps: dict[tuple[str, str], float] = {}
+        self.token_intervals: dict[tuple[str, str], float] = {}
         self.histograms: dict[tuple[str, str], Histogram] = {}
 
     def record(self, stage: Stage, accelerator: str, length: int, unloaded_ms: float) -> None:
@@ -42,16 +42,16 @@
         shorter time gets a higher weight than a longer one.
         """
         classes = self.means.setdefault((stage.work, stage.model, accelerator), {})
-        size = _size(length)
-        classes[size] = _follow(classes.get(size), unloaded_ms)
+        length_class = _length_class(length)
+        classes[length_class] = _smooth(classes.get(length_class), unloaded_ms)
 
-    def gap(self, stage: Stage, accelerator: str, gap_ms: float) -> float:
+    def update_token_interval(self, stage: Stage, accelerator: str, interval_ms: float) -> float:
         """Update the unloaded time between two tokens from a measurement; return the new value."""
         key = (stage.model, accelerator)
-        gap = self.gaps[key] = _follow(self.gaps.get(key), gap_ms)
-        return gap
+        interval = self.token_intervals[key] = _smooth(self.token_intervals.get(key), interval_ms)
+        return interval
 
-    def record_whole(self, pipeline: str, stage: Stage, elapsed_ms: float) -> None:
+    def record_total(self, pipeline: str, stage: Stage, elapsed_ms: float) -> None:
         """Record the total time of a stage, queueing and retries included."""
         key = (pipeline, stage.name)
         histogram = self.histograms.get(key)
@@ -63,20 +63,23 @@
         """Return the expected time on an unloaded server, in milliseconds."""
         classes = self.means.get((stage.work, stage.model, accelerator))
         if not classes:
-            return self.any_accelerator(stage, length)
-        size = _size(length)
-        value = classes.get(size)
-        return self.scaled(stage, classes, size) if value is None else value
+            return self.least_expected(stage, length)
+        length_class = _length_class(length)
+        value = classes.get(length_class)
+        return self.extrapolate(stage, classes, length_class) if value is None else value
 
-    def scaled(self, stage: Stage, classes: dict[int, float], size: int) -> float:
+    def extrapolate(self, stage: Stage, classes: dict[int, float], length_class: int) -> float:
         """Return the expected time of a length class without measurements on an accelerator."""
-        nearest = min(classes, key=lambda known: abs(known - size))
+        nearest = min(classes, key=lambda known: abs(known - length_class))
         for (work, model, _), others in self.means.items():
-            if (work, model) == (stage.work, stage.model) and {nearest, size} <= others.keys():
-                return classes[nearest] * others[size] / others[nearest]
+            if (work, model) == (stage.work, stage.model) and {
+                nearest,
+                length_class,
+            } <= others.keys():
+                return classes[nearest] * others[length_class] / others[nearest]
         return classes[nearest]
 
-    def record_failure(self, stage: Stage, accelerator: str, length: int, spent_ms: float) -> None:
+    def record_timeout(self, stage: Stage, accelerator: str, length: int, spent_ms: float) -> None:
         """Raise the expected time after a call that was cut off for taking too long.
 
         The time spent is only a lower bound. It is adopted at once and raised by a fifth, since
@@ -84,25 +87,25 @@
         """
         if spent_ms > self.expected(stage, accelerator, length):
             classes = self.means.setdefault((stage.work, stage.model, accelerator), {})
-            classes[_size(length)] = spent_ms * LONGER
+            classes[_length_class(length)] = spent_ms * TIMEOUT_FACTOR
 
-    def any_accelerator(self, stage: Stage, length: int) -> float:
+    def least_expected(self, stage: Stage, length: int) -> float:
         """Return the shortest time known on any accelerator, so that a new one gets tried."""
-        size = _size(length)
+        length_class = _length_class(length)
         known = [
-            classes[min(classes, key=lambda one: abs(one - size))]
+            classes[min(classes, key=lambda one: abs(one - length_class))]
             for (work, model, _), classes in self.means.items()
             if (work, model) == (stage.work, stage.model)
         ]
         return min(known, default=DEFAULT_MS)
 
 
-def _size(length: int) -> int:
+def _length_class(length: int) -> int:
     return length.bit_length()
 
 
-def _follow(old: float | None, new: float) -> float:
+def _smooth(old: float | None, new: float) -> float:
     if old is None:
         return new
-    weight = WEIGHT_DOWN if new < old else WEIGHT_UP
+    weight = DECREASE_WEIGHT if new < old else INCREASE_WEIGHT
     return old + weight * (new - old)
--- a/packages/core/src/mountladder/routing/estimate.py
+++ b/packages/core/src/mountladder/routing/estimate.py
@@ -14,8 +14,8 @@
 from mountladder.requests.runcontext import RunContext
 from mountladder.requests.stageplan import levels
 
-LOOKED_AT = 8
-FAR_LOOKED_AT = 4
+LOCAL_SAMPLE_SIZE = 8
+REMOTE_SAMPLE_SIZE = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     unloaded_ms: float
 
     @property
-    def crowded_ms(self) -> float:
+    def load_delay_ms(self) -> float:
         """Return the share of the time that is due to load, in milliseconds."""
         return self.expected_ms - self.unloaded_ms
 
@@ -45,8 +45,8 @@
     length = len(request.input)
     expected = unloaded = 0.0
     for group in levels(request.pipeline.stages):
-        parts = [_stage_estimate(context, request, stage, length) for stage in group]
-        slowest = max(parts, key=lambda part: part.expected_ms)
+        estimates = [_stage_estimate(context, request, stage, length) for stage in group]
+        slowest = max(estimates, key=lambda one: one.expected_ms)
         expected += slowest.expected_ms
         unloaded += slowest.unloaded_ms
     return Estimate(expected, unloaded)
@@ -55,20 +55,22 @@
 def _stage_estimate(context: RunContext, request: Request, stage: Stage, length: int) -> Estimate:
     allowed = context.follower.configuration.servers_for(stage, request.team)
     router = context.router
-    near, far = router.nearby.part(allowed)
-    looked_at = _some(context, near, LOOKED_AT) + _some(context, far, FAR_LOOKED_AT)
+    local, remote = router.locality.split(allowed)
+    sampled = _sample(context, local, LOCAL_SAMPLE_SIZE) + _sample(
+        context, remote, REMOTE_SAMPLE_SIZE
+    )
     now = context.clock.now()
-    states = [router.state(server) for server in looked_at]
-    known = [
+    states = [router.state(server) for server in sampled]
+    candidates = [
         router.candidate(state, stage, length, None, now)
         for state in states
         if state.usable(now, stage.model)
     ]
-    best = min(known, key=lambda one: one.expected_ms, default=None)
+    best = min(candidates, key=lambda one: one.expected_ms, default=None)
     return Estimate(0.0, 0.0) if best is None else Estimate(best.expected_ms, best.unloaded_ms)
 
 
-def _some(
-    context: RunContext, servers: tuple[BackendServer, ...], most: int
+def _sample(
+    context: RunContext, servers: tuple[BackendServer, ...], max_size: int
 ) -> list[BackendServer]:
-    return list(servers) if len(servers) <= most else context.rng.sample(servers, most)
+    return list(servers) if len(servers) <= max_size else context.rng.sample(servers, max_size)
--- a/packages/core/src/mountladder/routing/nearby.py
+++ b/packages/core/src/mountladder/routing/locality.py
@@ -1,4 +1,4 @@
-# nearby.py -- Splits backend servers into local and remote ones
+# locality.py -- Splits backend servers into local and remote ones
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,11 +10,11 @@
 
 from mountladder.configuration.backendserver import BackendServer
 
-KEPT = 512
+MAX_CACHED = 512
 Servers = tuple[BackendServer, ...]
 
 
-class Nearby:
+class ServerLocality:
     """Splits servers into those of the instance's data centre and those of others.
 
     Results are cached by the identity of the sequence, since a configuration returns the same
@@ -26,19 +26,19 @@
 
     def __init__(self, datacentre: str) -> None:
         self.datacentre = datacentre
-        self.known: dict[int, tuple[Sequence[BackendServer], Servers, Servers]] = {}
+        self.cache: dict[int, tuple[Sequence[BackendServer], Servers, Servers]] = {}
 
-    def is_near(self, server: BackendServer) -> bool:
+    def is_local(self, server: BackendServer) -> bool:
         """Return whether a server is in the instance's data centre."""
         return not self.datacentre or server.datacentre == self.datacentre
 
-    def part(self, allowed: Sequence[BackendServer]) -> tuple[Servers, Servers]:
+    def split(self, allowed: Sequence[BackendServer]) -> tuple[Servers, Servers]:
         """Return the local and the remote servers."""
-        entry = self.known.get(id(allowed))
+        entry = self.cache.get(id(allowed))
         if entry is None or entry[0] is not allowed:
-            near = tuple(server for server in allowed if self.is_near(server))
-            far = tuple(server for server in allowed if not self.is_near(server))
-            if len(self.known) >= KEPT:
-                self.known.clear()
-            entry = self.known[id(allowed)] = (allowed, near, far)
+            local = tuple(server for server in allowed if self.is_local(server))
+            remote = tuple(server for server in allowed if not self.is_local(server))
+            if len(self.cache) >= MAX_CACHED:
+                self.cache.clear()
+            entry = self.cache[id(allowed)] = (allowed, local, remote)
         return entry[1], entry[2]
--- a/packages/core/src/mountladder/routing/policy.py
+++ b/packages/core/src/mountladder/routing/policy.py
@@ -17,7 +17,7 @@
 from mountladder.routing.roundrobin import RoundRobin
 from mountladder.routing.twochoices import TwoChoices
 
-FULLEST = 1.0
+MAX_LOAD_FACTOR = 1.0
 Policy = RandomChoice | RoundRobin | LeastOutstanding | TwoChoices | ExpectedCompletion
 
 
@@ -26,7 +26,7 @@
     policy: object,
     candidates: Sequence[Candidate],
     budget_ms: float,
-    turn: int,
+    number: int,
     rng: random.Random,
 ) -> Candidate:
     """Choose one of the candidates.
@@ -35,7 +35,7 @@
         policy: The policy, one of Policy.
         candidates: At least one candidate.
         budget_ms: The time that the stage may take, in milliseconds.
-        turn: A counter that grows by one with every choice, used by round robin.
+        number: A counter that grows by one with every choice, used by round robin.
         rng: The source of randomness.
 
     Returns:
@@ -55,31 +55,33 @@
 
 
 @choose.register
-def _(policy: RandomChoice, candidates, budget_ms, turn, rng) -> Candidate:
+def _(policy: RandomChoice, candidates, budget_ms, number, rng) -> Candidate:
     return rng.choice(candidates)
 
 
 @choose.register
-def _(policy: RoundRobin, candidates, budget_ms, turn, rng) -> Candidate:
-    return candidates[turn % len(candidates)]
+def _(policy: RoundRobin, candidates, budget_ms, number, rng) -> Candidate:
+    return candidates[number % len(candidates)]
 
 
 @choose.register
-def _(policy: LeastOutstanding, candidates, budget_ms, turn, rng) -> Candidate:
+def _(policy: LeastOutstanding, candidates, budget_ms, number, rng) -> Candidate:
     return min(candidates, key=lambda one: (one.state.running, rng.random()))
 
 
 @choose.register
-def _(policy: TwoChoices, candidates, budget_ms, turn, rng) -> Candidate:
+def _(policy: TwoChoices, candidates, budget_ms, number, rng) -> Candidate:
     drawn = rng.sample(candidates, min(2, len(candidates)))
     return min(drawn, key=lambda one: one.state.running)
 
 
 @choose.register
-def _(policy: ExpectedCompletion, candidates, budget_ms, turn, rng) -> Candidate:
+def _(policy: ExpectedCompletion, candidates, budget_ms, number, rng) -> Candidate:
     fastest = min(candidates, key=lambda one: (one.expected_ms, rng.random()))
     allowance = policy.thrift * budget_ms
     in_time = [
-        one for one in candidates if one.expected_ms <= allowance and one.crowding <= FULLEST
+        one
+        for one in candidates
+        if one.expected_ms <= allowance and one.load_factor <= MAX_LOAD_FACTOR
     ]
     return min(in_time, key=lambda one: (one.cost, one.expected_ms), default=fastest)
--- a/packages/core/src/mountladder/routing/readingplan.py
+++ b/packages/core/src/mountladder/routing/prefillplan.py
@@ -1,4 +1,4 @@
-# readingplan.py -- Split of a prompt into tokens to read and tokens to fetch
+# prefillplan.py -- Split of a prompt into tokens to read and tokens to fetch
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,19 +10,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadingPlan:
+class PrefillPlan:
     """Which tokens of a prompt a model server would read and which it would fetch.
 
     Attributes:
         read: The number of tokens that it would read (prefill).
-        again: How many of these another server has cached.
-        unknown: How many of these belong to shared parts that no server is known to have cached.
+        cached_elsewhere: How many of these another server has cached.
+        uncached_shared: How many of these belong to shared parts that no server is known to
+            have cached.
         fetch_ms: The time of fetching cached tokens from another server, in milliseconds.
         source: The address of that server, or an empty string.
     """
 
     read: int
-    again: int = 0
-    unknown: int = 0
+    cached_elsewhere: int = 0
+    uncached_shared: int = 0
     fetch_ms: float = 0.0
     source: str = ""
--- a/packages/core/src/mountladder/routing/readingspeed.py
+++ b/packages/core/src/mountladder/routing/prefillspeed.py
@@ -1,4 +1,4 @@
-# readingspeed.py -- Learns how fast model servers read prompts
+# prefillspeed.py -- Learns how fast model servers read prompts
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -8,15 +8,15 @@
 
 # The initial assumption: engines read 38 to 61 tokens a millisecond, and concurrent streams take a
 # share of that.
-FIRST_TOKENS_PER_MS = 40.0
+INITIAL_TOKENS_PER_MS = 40.0
 # The running median moves up or down by this fraction per measurement: an initial value that is
 # wrong by half is corrected after about 30 prompts, a few seconds where one instance places all.
-STEP = 0.02
+STEP_FRACTION = 0.02
 # The time of a shorter read depends more on the engine's current step than on the reading speed.
-LEAST_TOKENS = 1_000
+MIN_TOKENS = 1_000
 
 
-class ReadingSpeed:
+class PrefillSpeed:
     """Learns how many prompt tokens a server of one service reads in a millisecond.
 
     The speed is the running median of the measurements, which include the effect of concurrent
@@ -27,7 +27,7 @@
     """
 
     def __init__(self) -> None:
-        self.tokens_per_ms = FIRST_TOKENS_PER_MS
+        self.tokens_per_ms = INITIAL_TOKENS_PER_MS
 
     def learn(self, tokens: int, elapsed_ms: float) -> None:
         """Update the speed from the time that a server took for some tokens.
@@ -35,7 +35,7 @@
         Args:
             tokens: The number of tokens, including those queued ahead of the prompt.
             elapsed_ms: The time, in milliseconds."""
-        if tokens < LEAST_TOKENS:
+        if tokens < MIN_TOKENS:
             return
         faster = tokens > self.tokens_per_ms * elapsed_ms
-        self.tokens_per_ms *= 1.0 + STEP if faster else 1.0 - STEP
+        self.tokens_per_ms *= 1.0 + STEP_FRACTION if faster else 1.0 - STEP_FRACTION
--- a/packages/core/src/mountladder/routing/promptchoice.py
+++ b/packages/core/src/mountladder/routing/promptchoice.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from mountladder.routing.choice import Choice
-from mountladder.routing.readingplan import ReadingPlan
+from mountladder.routing.prefillplan import PrefillPlan
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,4 +22,4 @@
     """
 
     choice: Choice
-    plan: ReadingPlan
+    plan: PrefillPlan
--- a/packages/core/src/mountladder/routing/router.py
+++ b/packages/core/src/mountladder/routing/router.py
@@ -22,16 +22,16 @@
 from mountladder.routing.candidate import Candidate
 from mountladder.routing.choice import Choice
 from mountladder.routing.costmodel import CostModel
-from mountladder.routing.nearby import Nearby
+from mountladder.routing.locality import ServerLocality
 from mountladder.routing.policy import Policy, choose, sample_size
 from mountladder.routing.serverstate import ServerState
 
-PREFIXES_KEPT = 4_096
-PREFIX_SAVING = 0.7
-MOST_EXACT_MS = 0.05
-SPARE = 2
-FEW = 16
-ROOMY = 1.0
+MAX_PREFIXES = 4_096
+PREFIX_HIT_FACTOR = 0.7
+MIN_INTERVAL_MS = 0.05
+OVERSAMPLING = 2
+MAX_UNSAMPLED = 16
+SPILL_LOAD_FACTOR = 1.0
 
 
 class Router:
@@ -47,7 +47,7 @@
         spill_ms: The time that a call to another data centre is assumed to add, in milliseconds.
 
     Attributes:
-        rests_until: When the last back-off that any server asked this instance for ends.
+        backoff_until: When the last back-off that any server asked this instance for ends.
         on_leaving: Called with the name of a server that announced that it is leaving.
     """
 
@@ -68,12 +68,12 @@
         self.metrics = metrics
         self.states: dict[str, ServerState] = {}
         self.prefixes: OrderedDict[int, str] = OrderedDict()
-        self.turns = itertools.count()
+        self.choice_numbers = itertools.count()
         self.peers = 0
-        self.nearby = Nearby(datacentre)
+        self.locality = ServerLocality(datacentre)
         self.spill_ms = spill_ms
-        self.heard_leaving: dict[str, float] = {}
-        self.rests_until = 0.0
+        self.leaving_reported_at: dict[str, float] = {}
+        self.backoff_until = 0.0
         self.on_leaving: Callable[[str], None] = lambda name: None
 
     def set_peers(self, peers: int) -> None:
@@ -89,8 +89,8 @@
         if state is None or state.server.address != server.address:
             state = self.states[server.name] = ServerState(server, self.rng)
             state.peers = self.peers
-            if server.name in self.heard_leaving:
-                state.leave(self.heard_leaving.pop(server.name))
+            if server.name in self.leaving_reported_at:
+                state.mark_leaving(self.leaving_reported_at.pop(server.name))
         elif state.server is not server:
             state.server = server
         return state
@@ -125,9 +125,9 @@
         candidates = candidates or self.candidates(allowed, frozenset(), stage, length, holder)
         if not candidates:
             raise StageError("", Code.NO_SERVER_AVAILABLE, False)
-        chosen = choose(self.policy, candidates, budget_ms, next(self.turns), self.rng)
+        chosen = choose(self.policy, candidates, budget_ms, next(self.choice_numbers), self.rng)
         if prefix is not None:
-            self.remember(prefix, chosen.state.server.name)
+            self.record_prefix(prefix, chosen.state.server.name)
         chosen.state.begin(self.clock.now())
         return Choice.of(chosen, len(allowed), len(candidates))
 
@@ -141,12 +141,12 @@
     ) -> list[Candidate]:
         """Return the servers to compare, remote ones only where all local ones are overloaded."""
         now = self.clock.now()
-        near, far = self.nearby.part(allowed)
-        drawn = self.draw(near, excluded, holder, stage.model) if near else []
-        found = [self.candidate(state, stage, length, holder, now) for state in drawn]
-        if far and all(one.crowding > ROOMY for one in found):
-            drawn = self.draw(far, excluded, holder, stage.model)
-            found += [self.candidate(state, stage, length, holder, now) for state in drawn]
+        local, remote = self.locality.split(allowed)
+        sampled = self.sample(local, excluded, holder, stage.model) if local else []
+        found = [self.candidate(state, stage, length, holder, now) for state in sampled]
+        if remote and all(one.load_factor > SPILL_LOAD_FACTOR for one in found):
+            sampled = self.sample(remote, excluded, holder, stage.model)
+            found += [self.candidate(state, stage, length, holder, now) for state in sampled]
         return found
 
     def usable(
@@ -157,7 +157,7 @@
         states = (self.state(server) for server in allowed if server.name not in excluded)
         return [state for state in states if state.usable(now, model)]
 
-    def draw(
+    def sample(
         self,
         allowed: Sequence[BackendServer],
         excluded: frozenset[str],
@@ -170,15 +170,19 @@
         checked only if none of the sample is usable. The server that holds the prefix is added.
         """
         size = sample_size(self.policy, len(allowed))
-        if len(allowed) <= SPARE * size:
-            return self.usable(allowed, excluded, model)[: max(size, FEW)]
-        drawn = self.usable(self.rng.sample(allowed, SPARE * size), excluded, model)[:size]
-        if not drawn:
-            drawn = self.usable(allowed, excluded, model)[:size]
-        held = self.states.get(holder) if holder is not None else None
-        if held is not None and held not in drawn and held.server in allowed:
-            drawn += self.usable([held.server], excluded, model)
-        return drawn
+        if len(allowed) <= OVERSAMPLING * size:
+            return self.usable(allowed, excluded, model)[: max(size, MAX_UNSAMPLED)]
+        sampled = self.usable(self.rng.sample(allowed, OVERSAMPLING * size), excluded, model)[:size]
+        if not sampled:
+            sampled = self.usable(allowed, excluded, model)[:size]
+        holder_state = self.states.get(holder) if holder is not None else None
+        if (
+            holder_state is not None
+            and holder_state not in sampled
+            and holder_state.server in allowed
+        ):
+            sampled += self.usable([holder_state.server], excluded, model)
+        return sampled
 
     def candidate(
         self, state: ServerState, stage: Stage, length: int, holder: str | None, now: float
@@ -186,85 +190,85 @@
         """Return a server as a candidate, with the expected time of a call there."""
         unloaded = self.costs.expected(stage, state.server.accelerator, length)
         if state.server.name == holder:
-            unloaded *= PREFIX_SAVING
-        delay_ms = 0.0 if self.nearby.is_near(state.server) else self.spill_ms
+            unloaded *= PREFIX_HIT_FACTOR
+        delay_ms = 0.0 if self.locality.is_local(state.server) else self.spill_ms
         return Candidate.at(state, unloaded, now, delay_ms)
 
-    def remember(self, prefix: int, server: str) -> None:
+    def record_prefix(self, prefix: int, server: str) -> None:
         """Record that a server was the last to be sent a prefix."""
         self.prefixes[prefix] = server
         self.prefixes.move_to_end(prefix)
-        if len(self.prefixes) > PREFIXES_KEPT:
+        if len(self.prefixes) > MAX_PREFIXES:
             self.prefixes.popitem(last=False)
 
-    def succeeded(
+    def record_success(
         self, choice: Choice, stage: Stage, length: int, elapsed_ms: float, load: int | None
     ) -> None:
         """Update a server's load, health and speed from a call that succeeded."""
         state = choice.state
         now = self.clock.now()
-        crowding = self.crowding_met(choice, now)
+        load_factor = self.mean_load_factor(choice, now)
         state.end(now)
         state.breaker.succeed()
         if load is not None:
-            state.report(load, now)
-        self.costs.record(stage, state.server.accelerator, length, elapsed_ms / crowding)
-        state.timed(elapsed_ms / max(1.0, choice.unloaded_ms * crowding), now)
+            state.record_load(load, now)
+        self.costs.record(stage, state.server.accelerator, length, elapsed_ms / load_factor)
+        state.record_time_ratio(elapsed_ms / max(1.0, choice.unloaded_ms * load_factor), now)
 
-    def paced(self, choice: Choice, stage: Stage, gap_ms: float) -> None:
+    def record_token_interval(self, choice: Choice, stage: Stage, interval_ms: float) -> None:
         """Update a server's load from the time between tokens of a running stream."""
         state = choice.state
-        unloaded = self.costs.gap(stage, state.server.accelerator, gap_ms)
-        state.met(gap_ms / max(MOST_EXACT_MS, unloaded), self.clock.now())
+        unloaded = self.costs.update_token_interval(stage, state.server.accelerator, interval_ms)
+        state.record_load_factor(interval_ms / max(MIN_INTERVAL_MS, unloaded), self.clock.now())
 
-    def withdraw(self, choice: Choice) -> None:
+    def cancel(self, choice: Choice) -> None:
         """Cancel a choice for which nothing was sent."""
         choice.state.end(self.clock.now())
         choice.state.breaker.abandon()
 
-    def crowding_met(self, choice: Choice, now: float) -> float:
+    def mean_load_factor(self, choice: Choice, now: float) -> float:
         """Return the estimated mean load factor during a call that is about to end."""
         at_end = max(1.0, choice.state.load(now) / choice.state.server.slots)
-        return (choice.crowding + at_end) / 2.0
+        return (choice.load_factor + at_end) / 2.0
 
-    def leaving(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Stop using a server that a peer reported as leaving, whether it was used here or not."""
-        self.heard_leaving[name] = self.clock.now()
+        self.leaving_reported_at[name] = self.clock.now()
         state = self.states.get(name)
         if state is not None:
-            state.leave(self.clock.now())
+            state.mark_leaving(self.clock.now())
 
-    def rest(self, server: BackendServer, for_ms: float) -> None:
+    def back_off(self, server: BackendServer, for_ms: float) -> None:
         """Send a server nothing from this instance for a time, as it asked.
 
         Args:
             server: The server.
             for_ms: The length of the back-off, in milliseconds."""
         now = self.clock.now()
-        self.state(server).rest(for_ms, now)
-        self.rests_until = max(self.rests_until, now + for_ms)
+        self.state(server).back_off(for_ms, now)
+        self.backoff_until = max(self.backoff_until, now + for_ms)
 
-    def rest_ms(self, servers: Iterable[BackendServer]) -> float:
+    def backoff_ms(self, servers: Iterable[BackendServer]) -> float:
         """Return how long it takes until the first of the servers ends its back-off, or 0.
 
         It is 0 where some server has asked for none, or where no servers are given."""
         now = self.clock.now()
         least_ms = math.inf
         for server in servers:
-            rest_ms = self.state(server).rest_ms(now)
-            if rest_ms <= 0:
+            backoff_ms = self.state(server).backoff_ms(now)
+            if backoff_ms <= 0:
                 return 0.0
-            least_ms = min(least_ms, rest_ms)
+            least_ms = min(least_ms, backoff_ms)
         return 0.0 if math.isinf(least_ms) else least_ms
 
-    def resting(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
+    def backing_off(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
         """Return those of the servers that have asked this instance to back off at present."""
         now = self.clock.now()
-        if now >= self.rests_until:
+        if now >= self.backoff_until:
             return []
-        return [one for one in servers if self.state(one).rest_ms(now) > 0]
+        return [one for one in servers if self.state(one).backoff_ms(now) > 0]
 
-    def ended(self, server: BackendServer) -> None:
+    def mark_crashed(self, server: BackendServer) -> None:
         """Eject a server that has crashed, so that no further request is sent there."""
         breaker = self.state(server).breaker
         now = self.clock.now()
@@ -272,26 +276,26 @@
             breaker.trip(now)
             self.metrics.count(Metric.EJECTED)
 
-    def failed(
+    def record_failure(
         self, choice: Choice, code: Code, elapsed_ms: float, stage: Stage, length: int
     ) -> None:
         """Update a server's load, health and speed from a call that failed."""
         state = choice.state
         now = self.clock.now()
-        crowding = self.crowding_met(choice, now)
-        ratio = elapsed_ms / max(1.0, choice.unloaded_ms * crowding)
+        load_factor = self.mean_load_factor(choice, now)
+        ratio = elapsed_ms / max(1.0, choice.unloaded_ms * load_factor)
         if code in {Code.DEADLINE_PASSED, Code.STAGE_STALLED}:
             accelerator = state.server.accelerator
-            self.costs.record_failure(stage, accelerator, length, elapsed_ms / crowding)
+            self.costs.record_timeout(stage, accelerator, length, elapsed_ms / load_factor)
         if ratio > state.slowness_at(now):
-            state.timed(ratio, now)
+            state.record_time_ratio(ratio, now)
         state.end(now)
         if code is Code.SERVER_REFUSED:
-            state.leave(now)
+            state.mark_leaving(now)
             state.breaker.abandon()
             self.on_leaving(state.server.name)
         elif code is Code.MODEL_MISSING:
-            state.lacks(stage.model, now)
+            state.record_missing_model(stage.model, now)
             state.breaker.abandon()
         elif code in {Code.CANCELLED, Code.DEADLINE_PASSED}:
             state.breaker.abandon()
--- a/packages/core/src/mountladder/routing/serverwish.py
+++ b/packages/core/src/mountladder/routing/serverconstraints.py
@@ -1,4 +1,4 @@
-# serverwish.py -- Constraints of a request on its backend server
+# serverconstraints.py -- Constraints of a request on its backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -11,21 +11,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerWish:
+class ServerConstraints:
     """The constraints of a request on its backend server.
 
     Attributes:
         excluded: The names of servers that must not be chosen, such as those that failed it.
         site: The data centre where its large inputs are stored, or an empty string.
-        patience_ms: How long it can wait for a rate-limited server, in milliseconds.
+        max_wait_ms: How long it can wait for a rate-limited server, in milliseconds.
         urgency: Its rank; 0 is the most urgent.
     """
 
     excluded: frozenset[str] = frozenset()
     site: str = ""
-    patience_ms: float = 0.0
+    max_wait_ms: float = 0.0
     urgency: int = 0
 
-    def without(self, names: Iterable[str]) -> ServerWish:
+    def without(self, names: Iterable[str]) -> ServerConstraints:
         """Return the same constraints with more servers excluded."""
         return replace(self, excluded=self.excluded.union(names))
--- a/packages/core/src/mountladder/routing/restraints.py
+++ b/packages/core/src/mountladder/routing/serverdelays.py
@@ -1,4 +1,4 @@
-# restraints.py -- Cold starts and rate limits that delay requests at backend servers
+# serverdelays.py -- Cold starts and rate limits that delay requests at backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restraints:
+class ServerDelays:
     """The servers at which a request is delayed at present, by a cold start or a rate limit.
 
     Attributes:
@@ -25,9 +25,9 @@
     cold: frozenset[str] = frozenset()
     waits_ms: Mapping[str, float] = field(default_factory=dict)
 
-    def limit_all(self, servers: Iterable[BackendServer]) -> bool:
+    def all_limited(self, servers: Iterable[BackendServer]) -> bool:
         """Return whether all of the given servers are rate-limited."""
         return all(one.name in self.waits_ms for one in servers)
 
 
-NO_RESTRAINTS = Restraints()
+NO_DELAYS = ServerDelays()
--- a/packages/core/src/mountladder/routing/pace.py
+++ b/packages/core/src/mountladder/routing/tokeninterval.py
@@ -1,4 +1,4 @@
-# pace.py -- Measures the time between the tokens of a running stream
+# tokeninterval.py -- Measures the time between the tokens of a running stream
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,10 +10,10 @@
 from mountladder.requests.chunk import Chunk
 from mountladder.requests.runcontext import RunContext
 
-TOLD_EVERY_MS = 100.0
+REPORT_INTERVAL_MS = 100.0
 
 
-class Pace:
+class TokenInterval:
     """Measures the mean time between a stream's tokens and reports it to the router.
 
     The interval shows the server's present load long before the stream ends, and without the
@@ -27,18 +27,20 @@
     def __init__(self, context: RunContext, attempt: Attempt) -> None:
         self.context = context
         self.attempt = attempt
-        self.since: float | None = None
+        self.started_at: float | None = None
         self.tokens = 0
 
-    def take(self, chunk: Chunk) -> None:
+    def add(self, chunk: Chunk) -> None:
         """Count a chunk's tokens; the first chunk only starts the measurement."""
         now = self.context.clock.now()
-        if self.since is None:
-            self.since = now
+        if self.started_at is None:
+            self.started_at = now
             return
         self.tokens += chunk.count
-        passed = now - self.since
-        if passed >= TOLD_EVERY_MS:
+        elapsed_ms = now - self.started_at
+        if elapsed_ms >= REPORT_INTERVAL_MS:
             stage = self.attempt.call.stage
-            self.context.router.paced(self.attempt.choice, stage, passed / self.tokens)
-            self.since, self.tokens = now, 0
+            self.context.router.record_token_interval(
+                self.attempt.choice, stage, elapsed_ms / self.tokens
+            )
+            self.started_at, self.tokens = now, 0
--- a/packages/core/src/mountladder/runtime.py
+++ b/packages/core/src/mountladder/runtime.py
@@ -128,7 +128,7 @@
         here = settings.datacentre
         self.router = Router(clock, rng, costs, chosen, metrics, here, settings.spill_ms)
         self.router.on_leaving = self.peers.server_leaving
-        self.peers.on_leaving_server = self.router.leaving
+        self.peers.on_leaving_server = self.router.mark_leaving
         self.ledger = Ledger(self.me.incarnation)
         guard = self.make_quarantine(backend)
         self.context = RunContext(
--- a/packages/core/src/mountladder/serverlimits/serverlimits.py
+++ b/packages/core/src/mountladder/serverlimits/serverlimits.py
@@ -13,19 +13,19 @@
 from mountladder.clocks.clock import Clock
 from mountladder.configuration.backendserver import BackendServer
 from mountladder.forwarding.leadership import Leadership
-from mountladder.notices.noticebook import NoticeBook
+from mountladder.notices.noticeregistry import NoticeRegistry
 from mountladder.notices.ratelimit import UNLIMITED
 from mountladder.serverlimits.tokenbucket import TokenBucket
 
 # A server with a lower limit is still sent one request in ten seconds, since only an answer can
 # report that the limit was lifted.
-LEAST_PER_S = 0.1
+MIN_PER_S = 0.1
 # The burst allowed after a pause, so that randomly arriving requests can use the full rate. Two
 # requests at once do not overload a server that takes as many a second.
-MOST_AT_ONCE = 2.0
+MAX_BURST = 2.0
 # An instance that spends a fraction by itself starts again without tokens after this time without
 # a request: several instances cut off from the coordinator must not all send saved tokens at once.
-ALONE_KEPT_MS = 2_000.0
+IDLE_RESET_MS = 2_000.0
 
 
 class ServerLimits:
@@ -37,7 +37,7 @@
     within one and a half times the limit (`Leadership.part`).
 
     Args:
-        book: The notices of servers, which hold their limits.
+        registry: The notices of servers, which hold their limits.
         leadership: Returns what fraction of a limit this instance may spend.
         clock: The clock.
 
@@ -45,17 +45,17 @@
         buckets: The token bucket of each rate-limited server, by its name.
     """
 
-    def __init__(self, book: NoticeBook, leadership: Leadership, clock: Clock) -> None:
-        self.book = book
+    def __init__(self, registry: NoticeRegistry, leadership: Leadership, clock: Clock) -> None:
+        self.registry = registry
         self.leadership = leadership
         self.clock = clock
         self.buckets: dict[str, TokenBucket] = {}
 
     def limited(self, servers: Iterable[BackendServer]) -> frozenset[str]:
         """Return the names of the rate-limited servers."""
-        if not self.book.limits:
+        if not self.registry.limits:
             return frozenset()
-        return frozenset(one.name for one in servers if self.book.per_s(one.name) < UNLIMITED)
+        return frozenset(one.name for one in servers if self.registry.per_s(one.name) < UNLIMITED)
 
     def waits_ms(self, servers: Iterable[BackendServer], topic: str) -> dict[str, float]:
         """Return how long a request for each rate-limited server has to wait, in milliseconds.
@@ -69,15 +69,15 @@
         limited = self.limited(servers)
         if not limited:
             return {}
-        now, part = self.clock.now(), self.leadership.part(topic)
-        return {name: self.bucket_of(name, part, now).wait_ms(now) for name in limited}
+        now, fraction = self.clock.now(), self.leadership.part(topic)
+        return {name: self.bucket_of(name, fraction, now).wait_ms(now) for name in limited}
 
     def wait_ms(self, server: BackendServer, topic: str) -> float:
         """Return how long one more request for a server has to wait, in milliseconds."""
         bucket = self.bucket(server, topic)
         return bucket.wait_ms(self.clock.now()) if bucket is not None else 0.0
 
-    def sent(self, server: BackendServer, topic: str) -> None:
+    def record_sent(self, server: BackendServer, topic: str) -> None:
         """Record that a request is sent to a server now, or reserved for a later time."""
         bucket = self.bucket(server, topic)
         if bucket is None:
@@ -88,8 +88,8 @@
         log_message(
             "limited-server-sent",
             server=server.name,
-            per_s=self.book.per_s(server.name),
-            spent_here_per_s=round(bucket.per_s, 3),
+            per_s=self.registry.per_s(server.name),
+            local_per_s=round(bucket.per_s, 3),
             wait_ms=round(wait_ms),
             left=round(bucket.tokens, 2),
         )
@@ -101,33 +101,33 @@
 
     def bucket(self, server: BackendServer, topic: str) -> TokenBucket | None:
         """Return the token bucket of a server, or None where it has no limit."""
-        if self.book.per_s(server.name) == UNLIMITED:
+        if self.registry.per_s(server.name) == UNLIMITED:
             self.buckets.pop(server.name, None)
             return None
         return self.bucket_of(server.name, self.leadership.part(topic), self.clock.now())
 
-    def bucket_of(self, name: str, part: float, now: float) -> TokenBucket:
+    def bucket_of(self, name: str, fraction: float, now: float) -> TokenBucket:
         """Return the token bucket of a rate-limited server, with its present rate.
 
         Args:
             name: The server's name.
-            part: The fraction of the limit that this instance may spend.
+            fraction: The fraction of the limit that this instance may spend.
             now: The clock's time, in milliseconds.
         """
-        whole = part >= 1.0
-        per_s = max(LEAST_PER_S, self.book.per_s(name)) * part
-        most = MOST_AT_ONCE if whole else 1.0
+        is_whole = fraction >= 1.0
+        per_s = max(MIN_PER_S, self.registry.per_s(name)) * fraction
+        max_tokens = MAX_BURST if is_whole else 1.0
         bucket = self.buckets.get(name)
-        stale = bucket is not None and not whole and now - bucket.refilled_at > ALONE_KEPT_MS
+        stale = bucket is not None and not is_whole and now - bucket.refilled_at > IDLE_RESET_MS
         if bucket is None or stale:
-            self.forget_gone()
-            bucket = self.buckets[name] = TokenBucket(per_s, most, now)
+            self.drop_stale()
+            bucket = self.buckets[name] = TokenBucket(per_s, max_tokens, now)
         elif bucket.per_s != per_s:
-            bucket.change(per_s, most, now)
+            bucket.set_rate(per_s, max_tokens, now)
         return bucket
 
-    def forget_gone(self) -> None:
+    def drop_stale(self) -> None:
         """Drop the buckets of servers without a notice of a limit."""
-        gone = [name for name in self.buckets if name not in self.book.limits]
-        for name in gone:
+        stale = [name for name in self.buckets if name not in self.registry.limits]
+        for name in stale:
             del self.buckets[name]
--- a/packages/core/src/mountladder/serverlimits/tokenbucket.py
+++ b/packages/core/src/mountladder/serverlimits/tokenbucket.py
@@ -16,7 +16,7 @@
 
     Args:
         per_s: The refill rate, in tokens a second.
-        most: The maximum number of tokens.
+        max_tokens: The maximum number of tokens.
         now: The clock's time, in milliseconds.
 
     Attributes:
@@ -24,22 +24,22 @@
         refilled_at: When it was last refilled.
     """
 
-    def __init__(self, per_s: float, most: float, now: float) -> None:
+    def __init__(self, per_s: float, max_tokens: float, now: float) -> None:
         self.per_s = per_s
-        self.most = most
+        self.max_tokens = max_tokens
         self.tokens = 0.0
         self.refilled_at = now
 
     def refill(self, now: float) -> None:
         """Add the tokens that are due since the last refill."""
-        come = self.per_s * (now - self.refilled_at) / MS_PER_SECOND
-        self.tokens = min(self.most, self.tokens + come)
+        added = self.per_s * (now - self.refilled_at) / MS_PER_SECOND
+        self.tokens = min(self.max_tokens, self.tokens + added)
         self.refilled_at = now
 
-    def change(self, per_s: float, most: float, now: float) -> None:
+    def set_rate(self, per_s: float, max_tokens: float, now: float) -> None:
         """Change the rate and the maximum; reservations stay."""
         self.refill(now)
-        self.per_s, self.most = per_s, most
+        self.per_s, self.max_tokens = per_s, max_tokens
 
     def wait_ms(self, now: float) -> float:
         """Return the time until the next token that is not reserved, in milliseconds."""
--- a/packages/standins/src/mountladder_standins/localupstream.py
+++ b/packages/standins/src/mountladder_standins/localupstream.py
@@ -21,10 +21,10 @@
 from mountladder.forwarding.pieceresult import PieceResult
 from mountladder.forwarding.upstream import Upstream
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
+from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
-from mountladder.notices.notice import Heard, Notice
+from mountladder.notices.notice import Notice, NoticeHandler
 from mountladder.notices.ratelimit import UNLIMITED, RateLimit
-from mountladder.notices.rest import Rest
 from mountladder_standins.localanswer import LocalAnswer
 from mountladder_standins.piececall import PieceCall
 from mountladder_standins.serverfault import ServerFault
@@ -111,7 +111,7 @@
         limit = RateLimit(self.limits.get(server.name, UNLIMITED))
         return (limit, Leaving()) if server.name in self.leaving else (limit,)
 
-    def refuse(self, server: BackendServer, heard: Heard) -> None:
+    def refuse(self, server: BackendServer, heard: NoticeHandler) -> None:
         """Refuse a request where the server is to.
 
         Raises:
@@ -124,7 +124,7 @@
         if fault is ServerFault.FULL:
             leaving = (Leaving(),) if server.name in self.leaving else ()
             rest_ms = self.rests.get(server.name, 0.0)
-            rest = (Rest(rest_ms),) if rest_ms else ()
+            rest = (BackOff(rest_ms),) if rest_ms else ()
             heard(server, leaving + rest, self.clock.now())
         if fault in _REFUSALS:
             raise StageError("", _REFUSALS[fault], False)
@@ -190,7 +190,7 @@
         return LocalAnswer(self.clock, 200, signed, [server.name.encode()])
 
     def run_pieces(
-        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, heard: Heard
+        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, heard: NoticeHandler
     ) -> tuple[PieceResult, ...]:
         """Work on pieces; see Upstream."""
         fault = self.faults.get(server.name)
@@ -209,7 +209,7 @@
             return tuple(PieceResult("", PieceFailure.NO_ROOM) for _ in pieces)
         return tuple(PieceResult(f"{server.address}/{next(self.numbers)}") for _ in pieces)
 
-    def free(self, server: BackendServer, handles: Sequence[str], heard: Heard) -> None:
+    def free(self, server: BackendServer, handles: Sequence[str], heard: NoticeHandler) -> None:
         """Note which results were given up; see Upstream."""
         try:
             self.refuse(server, heard)
