--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -29,7 +29,7 @@
 from mountladder.forwarding.upstream import Upstream
 from mountladder.limits.windowbudget import WindowBudget
 from mountladder.metrics.metrics import Metrics
-from mountladder.notices.noticeboard import NoticeBoard
+from mountladder.notices.noticedispatcher import NoticeDispatcher
 from mountladder.quarantine.quarantineservice import QuarantineService
 from mountladder.routing.router import Router
 from mountladder.routing.serverstate import ServerState
@@ -86,7 +86,7 @@
         metrics: Metrics,
         cold: ColdServers,
         limits: ServerLimits,
-        notices: NoticeBoard,
+        notices: NoticeDispatcher,
     ) -> None:
         self.service = service
         self.notices = notices
@@ -114,7 +114,7 @@
             directory,
             self.clock,
             self.on_released,
-            self.notices.hear,
+            self.notices.dispatch,
             self.servers.restricted_addresses,
             lambda handle: handle in self.result_memory.results,
         )
--- a/packages/core/src/mountladder/forwarding/batchrun.py
+++ b/packages/core/src/mountladder/forwarding/batchrun.py
@@ -88,7 +88,7 @@
         cancel = self.batcher.clock.call_later(hedge_after_ms, self.hedge)
         try:
             results = self.batcher.upstream.run_pieces(
-                self.state.server, pieces, timeout_ms, self.batcher.notices.hear
+                self.state.server, pieces, timeout_ms, self.batcher.notices.dispatch
             )
         except StageError as error:
             self.failed(error)
@@ -102,7 +102,9 @@
     def hedge(self) -> None:
         """Requeue the unsettled pieces of an overdue call, so that another server runs them too."""
         now = self.batcher.clock.now()
-        self.state.timed((now - self.call.started) / self.limits.expected_ms(len(self.batch)), now)
+        self.state.record_time_ratio(
+            (now - self.call.started) / self.limits.expected_ms(len(self.batch)), now
+        )
         self.batcher.servers.mark_overdue(self.state, self.call)
         requeued = [
             one
@@ -130,7 +132,7 @@
         elapsed_ms = now - self.call.started
         self.state.breaker.succeed()
         self.batcher.servers.answered(self.state, now)
-        self.state.timed(elapsed_ms / self.limits.expected_ms(len(self.batch)), now)
+        self.state.record_time_ratio(elapsed_ms / self.limits.expected_ms(len(self.batch)), now)
         self.batcher.rate.add(len(self.batch))
         self.batcher.metrics.count(Metric.STAGE_CALLS)
         self.batcher.metrics.count(Metric.STAGE_PIECES, number=len(self.batch))
@@ -190,7 +192,7 @@
             self.batcher.servers.pause(self.state, now + FULL_PAUSE_MS)
             self.state.breaker.abandon()
         elif error.code is Code.SERVER_REPLACED:
-            self.state.leave(now)
+            self.state.mark_leaving(now)
             self.state.breaker.abandon()
         elif self.batcher.servers.has_answered_since(self.state, self.call):
             # The server has answered another call since, so only this answer was lost.
--- a/packages/core/src/mountladder/forwarding/firsteventtime.py
+++ b/packages/core/src/mountladder/forwarding/firsteventtime.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from mountladder.forwarding.prompt import Prompt
-from mountladder.routing.readingspeed import FIRST_TOKENS_PER_MS
+from mountladder.routing.prefillspeed import INITIAL_TOKENS_PER_MS
 
 # For fetching stage results and waiting for the batch step that is running.
 MIN_MS = 100.0
@@ -20,4 +20,4 @@
 def first_event_ms(prompt: Prompt | None) -> float:
     """Return the expected time from the last stage to the first event, in milliseconds."""
     tokens = prompt.tokens if prompt is not None else 0
-    return MIN_MS + PREFILL_FRACTION * tokens / FIRST_TOKENS_PER_MS
+    return MIN_MS + PREFILL_FRACTION * tokens / INITIAL_TOKENS_PER_MS
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -204,7 +204,7 @@
             last_event_id=last_event_id,
             may_reuse_connection=self.route.repeatable,
             source=attempt.picked.source,
-            on_notices=self.context.notices.hear,
+            on_notices=self.context.notices.dispatch,
             connected=connected,
         )
         return self.context.upstream.open(attempt.choice.state.server, call, limit_ms)
--- a/packages/core/src/mountladder/forwarding/placementcoordinator.py
+++ b/packages/core/src/mountladder/forwarding/placementcoordinator.py
@@ -23,8 +23,8 @@
 from mountladder.forwarding.retryschedule import RetrySchedule
 from mountladder.routing.promptchoice import PromptChoice
 from mountladder.routing.promptplacement import PromptPlacement
-from mountladder.routing.restraints import Restraints
 from mountladder.routing.router import Router
+from mountladder.routing.serverdelays import ServerDelays
 from mountladder.serverlimits.serverlimits import ServerLimits
 
 # The owner id of this instance's own prompts; peers are identified by their link.
@@ -80,23 +80,23 @@
         """
         servers = self.directory.available(order.service)
         topic = prompts_topic(order.service)
-        restraints = Restraints(self.cold.cold(servers), self.limits.waits_ms(servers, topic))
+        restraints = ServerDelays(self.cold.cold(servers), self.limits.waits_ms(servers, topic))
         chosen = self.choose(order, servers, restraints, topic)
         if chosen is None:
             return self.reject(order, servers, restraints)
         choice = chosen.choice
         server = choice.state.server.name
         plan = chosen.plan
-        ahead = self.placement.reading[server]
+        ahead = self.placement.pending_tokens[server]
         choice.state.breaker.begin()
         self.cold.record_sent(choice.state.server)
-        self.limits.sent(choice.state.server, topic)
+        self.limits.record_sent(choice.state.server, topic)
         key = (owner, order.number)
         self.placed[key] = PlacedPrompt(
             server, plan.read, choice.unloaded_ms, 0 if plan.source else ahead + plan.read
         )
         self.prefilling.add(key)
-        self.placement.began(server, order.prompt, plan.read)
+        self.placement.record_start(server, order.prompt, plan.read)
         wait_ms = restraints.waits_ms.get(server, 0.0)
         return PlacementReply(
             order.number, server, choice.expected_ms, plan.source, plan.read, wait_ms
@@ -106,11 +106,11 @@
         self,
         order: PlacementOrder,
         servers: Sequence[BackendServer],
-        restraints: Restraints,
+        restraints: ServerDelays,
         topic: str,
     ) -> PromptChoice | None:
         """Return the server chosen for a prompt, or None if none accepts it."""
-        if restraints.limit_all(servers) and self.must_yield(order):
+        if restraints.all_limited(servers) and self.must_yield(order):
             return None
         wish = order.wish.without(self.cold.exhausted(servers, restraints.cold, topic))
         service = self.follower.service(order.service)
@@ -123,13 +123,10 @@
         return schedule is not None and schedule.must_yield(order.urgency, self.clock.now())
 
     def reject(
-        self,
-        order: PlacementOrder,
-        servers: Sequence[BackendServer],
-        restraints: Restraints,
+        self, order: PlacementOrder, servers: Sequence[BackendServer], restraints: ServerDelays
     ) -> PlacementReply:
         """Return a reply without a server, with the time to retry after if that is known."""
-        if not servers or not restraints.limit_all(servers):
+        if not servers or not restraints.all_limited(servers):
             return PlacementReply(order.number, "", 0.0)
         topic = prompts_topic(order.service)
         schedule = self.retry_schedules.setdefault(order.service, RetrySchedule())
@@ -150,7 +147,7 @@
             self.trip_breaker(placed.server)
         if note.ended:
             del self.placed[key]
-            self.placement.ended(placed.server)
+            self.placement.record_end(placed.server)
 
     def trip_breaker(self, server: str) -> None:
         """Trip the circuit breaker of a server that an instance could not reach.
@@ -161,7 +158,7 @@
         state = self.router.states.get(server)
         now = self.clock.now()
         # Failures of requests that were already sent when the breaker tripped are no new evidence.
-        if state is not None and (state.breaker.allows(now) or state.breaker.trying):
+        if state is not None and (state.breaker.allows(now) or state.breaker.probing):
             state.breaker.trip(now)
             log_message(
                 "server-unreachable", server=server, reason="an instance could not connect to it"
@@ -174,7 +171,7 @@
         if key not in self.prefilling:
             return
         self.prefilling.discard(key)
-        self.placement.read(placed.server, placed.prefill_tokens)
+        self.placement.record_read(placed.server, placed.prefill_tokens)
         if read_ms > 0:
             self.placement.speed.learn(placed.queued_tokens, read_ms)
         state = self.router.states.get(placed.server)
@@ -182,7 +179,7 @@
             return
         if read_ms > 0:
             state.breaker.succeed()
-            state.timed(read_ms / placed.expected_ms, self.clock.now())
+            state.record_time_ratio(read_ms / placed.expected_ms, self.clock.now())
         else:
             state.breaker.abandon()
 
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -21,7 +21,7 @@
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.ranking import prompts_topic
 from mountladder.membership.link import Link
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.serverconstraints import ServerConstraints
 
 # Timeout for the coordinator's reply, which usually takes 1 to 2 ms. Placing a prompt locally, with
 # less information, costs no more than this wait.
@@ -54,7 +54,7 @@
         fleet.subscribe(PlacementNote, self.handle_note)
         fleet.peer_gone.append(lambda link: coordinator.forget_owner(id(link)))
 
-    def place(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
+    def place(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementReply:
         """Return the placement of a prompt; its number identifies the prompt until it ends."""
         order = self.make_order(service, prompt, wish)
         link = self.fleet.home(prompts_topic(service))
@@ -65,15 +65,17 @@
             self.placed_by[order.number] = link
         return reply
 
-    def place_locally(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
+    def place_locally(
+        self, service: str, prompt: Prompt, wish: ServerConstraints
+    ) -> PlacementReply:
         """Return a placement by what this instance alone knows; see place."""
         return self.place_order(self.make_order(service, prompt, wish))
 
-    def make_order(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementOrder:
+    def make_order(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementOrder:
         """Return a new placement order; see place."""
         number, excluded = next(self.numbers), tuple(wish.excluded)
         return PlacementOrder(
-            number, service, prompt, excluded, wish.site, wish.patience_ms, wish.urgency
+            number, service, prompt, excluded, wish.site, wish.max_wait_ms, wish.urgency
         )
 
     def place_order(self, order: PlacementOrder) -> PlacementReply:
--- a/packages/core/src/mountladder/forwarding/releaser.py
+++ b/packages/core/src/mountladder/forwarding/releaser.py
@@ -13,7 +13,7 @@
 from mountladder.clocks.clock import Clock
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.upstream import Upstream
-from mountladder.notices.notice import Heard
+from mountladder.notices.notice import NoticeHandler
 
 # Releases are batched over this time, short enough that a server's result memory does not fill up.
 RELEASE_MS = 25.0
@@ -43,7 +43,7 @@
         directory: Directory,
         clock: Clock,
         on_released: Callable[[Sequence[str]], None],
-        on_notices: Heard,
+        on_notices: NoticeHandler,
         restricted: Callable[[], frozenset[str]],
         is_stored: Callable[[str], bool],
     ) -> None:
--- a/packages/core/src/mountladder/forwarding/reservation.py
+++ b/packages/core/src/mountladder/forwarding/reservation.py
@@ -11,7 +11,7 @@
 from mountladder.code import Code
 from mountladder.forwarding.firsteventtime import first_event_ms
 from mountladder.forwarding.pickedserver import PickedServer
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.serverconstraints import ServerConstraints
 
 if TYPE_CHECKING:
     from mountladder.forwarding.forwardrun import ForwardRun
@@ -89,7 +89,7 @@
     def pick(self, max_wait_ms: float) -> PickedServer:
         """Choose a server; see ServerPicker."""
         run = self.run
-        wish = ServerWish(run.excluded, run.site, max_wait_ms, run.urgency)
+        wish = ServerConstraints(run.excluded, run.site, max_wait_ms, run.urgency)
         return self.picker.pick(run.request, run.service, run.remaining_ms(), wish)
 
     def max_wait_ms(self) -> float:
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -22,8 +22,8 @@
 from mountladder.forwarding.prompt import Prompt
 from mountladder.forwarding.promptplacer import PromptPlacer
 from mountladder.routing.choice import Choice
-from mountladder.routing.router import ROOMY, Router
-from mountladder.routing.serverwish import ServerWish
+from mountladder.routing.router import SPILL_LOAD_FACTOR, Router
+from mountladder.routing.serverconstraints import ServerConstraints
 from mountladder.serverlimits.serverlimits import ServerLimits
 
 # When a caller may retry if no server is available: about as long as a circuit breaker stays open.
@@ -74,7 +74,7 @@
         self.stages: dict[str, Stage] = {}
 
     def pick(
-        self, request: ForwardRequest, service: str, budget_ms: float, wish: ServerWish
+        self, request: ForwardRequest, service: str, budget_ms: float, wish: ServerConstraints
     ) -> PickedServer:
         """Choose a server and record that the request is sent to it.
 
@@ -114,7 +114,7 @@
         request: ForwardRequest,
         service: str,
         budget_ms: float,
-        wish: ServerWish,
+        wish: ServerConstraints,
     ) -> PickedServer:
         """Choose among servers without a rate limit; see pick."""
         stage, length = self.stage(service), len(request.body)
@@ -134,7 +134,7 @@
         service: str,
         servers: tuple[BackendServer, ...],
         free: tuple[BackendServer, ...],
-        others: ServerWish,
+        others: ServerConstraints,
     ) -> PickedServer | None:
         """Use a rate-limited server if the others are overloaded, otherwise as a periodic probe.
 
@@ -144,7 +144,7 @@
         if len(free) + len(cold) == len(servers) or not self.is_probe_due(service, free):
             return None
         try:
-            wish = replace(others.without(cold), patience_ms=0.0)
+            wish = replace(others.without(cold), max_wait_ms=0.0)
             return self.pick_for_prompt(EMPTY_PROMPT, service, wish)
         except RefusalError:
             log_message("limited-servers-exhausted", service=service, free=len(free))
@@ -155,7 +155,10 @@
         now = self.router.clock.now()
         every_ms = LIMITED_PROBE_MS * self.placer.fleet.membership.sharing()
         due = now - self.probed_at.get(service, -every_ms) >= every_ms
-        if not due and min(self.router.state(one).crowding(now) for one in free) <= ROOMY:
+        if (
+            not due
+            and min(self.router.state(one).load_factor(now) for one in free) <= SPILL_LOAD_FACTOR
+        ):
             return False
         self.probed_at[service] = now
         return True
@@ -169,11 +172,11 @@
         """Return whether a request may still be sent to the server that was picked for it."""
         state = picked.choice.state
         names = {one.name for one in self.directory.available(service)}
-        return state.server.name in names and state.rest_ms(self.router.clock.now()) <= 0
+        return state.server.name in names and state.backoff_ms(self.router.clock.now()) <= 0
 
     def backoff_ms(self, service: str) -> float:
         """Return how long all servers of a service still ask this instance to back off, or 0."""
-        return self.router.rest_ms(self.directory.available(service))
+        return self.router.backoff_ms(self.directory.available(service))
 
     def backoff_refusal(self, service: str) -> RefusalError:
         """Return the refusal of a request while all servers of its service ask to back off.
@@ -183,8 +186,10 @@
         """
         now = self.router.clock.now()
         states = [self.router.state(one) for one in self.directory.available(service)]
-        first = min(states, key=lambda one: one.rest_ms(now))
-        retry_after_ms = first.rest_ms(now) + RETURN_SPREAD_FRACTION * (now - first.rests_since)
+        first = min(states, key=lambda one: one.backoff_ms(now))
+        retry_after_ms = first.backoff_ms(now) + RETURN_SPREAD_FRACTION * (
+            now - first.backoff_since
+        )
         return RefusalError("", Code.SERVERS_RESTING, retry_after_ms=retry_after_ms)
 
     def check_servers(self, service: str) -> None:
@@ -209,7 +214,9 @@
         code = Code.DATACENTRES_DRAINED if drained else Code.NO_SERVER_AVAILABLE
         return RefusalError("", code, retry_after_ms=NO_SERVER_RETRY_MS)
 
-    def pick_for_prompt(self, prompt: Prompt, service: str, wish: ServerWish) -> PickedServer:
+    def pick_for_prompt(
+        self, prompt: Prompt, service: str, wish: ServerConstraints
+    ) -> PickedServer:
         """Choose a server through the service's coordinator; see pick."""
         servers = {one.name: one for one in self.directory.available(service)}
         wish = wish.without(self.unusable(servers.values()))
@@ -226,7 +233,7 @@
         state = self.router.state(server)
         state.begin(now)
         expected_ms, compared = reply.expected_ms, len(servers) - len(wish.excluded)
-        crowding = state.crowding(now)
+        crowding = state.load_factor(now)
         choice = Choice(state, expected_ms, expected_ms, crowding, len(servers), compared)
         return PickedServer(choice, reply.number, reply.source, reply.read, now + reply.wait_ms)
 
@@ -246,9 +253,9 @@
     ) -> None:
         """Record a call that was answered; a stream continues after its first event."""
         stage, length = self.stage(service), len(request.body)
-        self.router.succeeded(picked.choice, stage, length, elapsed_ms, load)
+        self.router.record_success(picked.choice, stage, length, elapsed_ms, load)
         if streaming:
-            picked.choice.state.count(1, self.router.clock.now())
+            picked.choice.state.change_running(1, self.router.clock.now())
             self.placer.report(picked.placement_number, read_ms=elapsed_ms)
         else:
             self.placer.report(picked.placement_number, ended=True)
@@ -268,7 +275,7 @@
     ) -> None:
         """Record a call that failed."""
         stage = self.stage(service)
-        self.router.failed(picked.choice, code, elapsed_ms, stage, len(request.body))
+        self.router.record_failure(picked.choice, code, elapsed_ms, stage, len(request.body))
         self.placer.report(picked.placement_number, ended=True, gone=code in SERVER_FAILURE_CODES)
 
     def stage(self, service: str) -> Stage:
--- a/packages/core/src/mountladder/forwarding/stagedemand.py
+++ b/packages/core/src/mountladder/forwarding/stagedemand.py
@@ -67,6 +67,6 @@
         waits = []
         for priority in PRIORITY_CLASSES:
             # More urgent pieces that arrive meanwhile go first.
-            left_rate = max(MIN_RATE_FRACTION * rate, rate - self.rates.above(priority))
+            left_rate = max(MIN_RATE_FRACTION * rate, rate - self.rates.rate_above(priority))
             waits.append(busy_ms + sum(ahead[one] for one in range(priority + 1)) / left_rate)
         return tuple(waits)
--- a/packages/core/src/mountladder/forwarding/stageservers.py
+++ b/packages/core/src/mountladder/forwarding/stageservers.py
@@ -67,7 +67,7 @@
         if self.rate_limits.limited((state.server,)):
             self.limited_call_at = call.started
         # Rate limits count a call as one request, whatever its number of pieces.
-        self.rate_limits.sent(state.server, self.service)
+        self.rate_limits.record_sent(state.server, self.service)
         self.calls.setdefault(state.server.name, []).append(call)
         state.begin(call.started)
 
@@ -108,17 +108,17 @@
         servers = self.division.directory.available(self.service)
         limited = self.rate_limits.limited(servers)
         restricted = [one for one in servers if one.name in limited] if limited else []
-        return frozenset(one.address for one in (*restricted, *self.router.resting(servers)))
+        return frozenset(one.address for one in (*restricted, *self.router.backing_off(servers)))
 
     def backoff_ms(self) -> float:
         """Return the remaining back-off of all servers in milliseconds, 0 if one has none."""
-        return self.router.rest_ms(self.division.servers(self.service))
+        return self.router.backoff_ms(self.division.servers(self.service))
 
     def try_acquire(self, state: ServerState) -> bool:
         """Use up one request of a server's rate limit; return False if none is available now."""
         if self.rate_limits.wait_ms(state.server, self.service) > 0:
             return False
-        self.rate_limits.sent(state.server, self.service)
+        self.rate_limits.record_sent(state.server, self.service)
         return True
 
     def pause(self, state: ServerState, until: float) -> None:
--- a/packages/core/src/mountladder/forwarding/upstream.py
+++ b/packages/core/src/mountladder/forwarding/upstream.py
@@ -14,7 +14,7 @@
 from mountladder.forwarding.piece import Piece
 from mountladder.forwarding.pieceresult import PieceResult
 from mountladder.forwarding.upstreamanswer import UpstreamAnswer
-from mountladder.notices.notice import Heard
+from mountladder.notices.notice import NoticeHandler
 
 
 class Upstream(ABC):
@@ -43,7 +43,11 @@
 
     @abstractmethod
     def run_pieces(
-        self, server: BackendServer, pieces: Sequence[Piece], limit_ms: float, on_notices: Heard
+        self,
+        server: BackendServer,
+        pieces: Sequence[Piece],
+        limit_ms: float,
+        on_notices: NoticeHandler,
     ) -> tuple[PieceResult, ...]:
         """Have a server run pieces and return the results in the same order.
 
@@ -65,7 +69,9 @@
         """
 
     @abstractmethod
-    def free(self, server: BackendServer, handles: Sequence[str], on_notices: Heard) -> None:
+    def free(
+        self, server: BackendServer, handles: Sequence[str], on_notices: NoticeHandler
+    ) -> None:
         """Tell a server that results are no longer needed; failures are ignored.
 
         Args:
--- a/packages/core/src/mountladder/notices/noticeexchange.py
+++ b/packages/core/src/mountladder/notices/noticeexchange.py
@@ -1,8 +1,8 @@
-# noticeexchange.py -- Telling the other instances what backend servers said
+# noticeexchange.py -- Exchanges notices of backend servers between instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Telling the other instances what backend servers said."""
+"""Exchanges notices of backend servers between instances."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from mountladder.clocks.clock import Clock
 from mountladder.membership.linkkeeper import LinkKeeper
 from mountladder.membership.newsexchange import NewsExchange
-from mountladder.notices.noticebook import NoticeBook
+from mountladder.notices.noticeregistry import NoticeRegistry
 from mountladder.notices.servernotice import ServerNotice
 from mountladder.notices.servernotices import ServerNotices
 
 
 class NoticeExchange(NewsExchange[ServerNotice]):
-    """Keeps the books of what servers said of all instances alike.
+    """Keeps the notices in force the same at all instances.
 
     Args:
-        keeper: Keeps the links to the other instances.
-        book: This instance's book.
+        keeper: Maintains the links to the other instances.
+        registry: The notices in force at this instance.
         clock: The clock.
     """
 
-    def __init__(self, keeper: LinkKeeper, book: NoticeBook, clock: Clock) -> None:
+    def __init__(self, keeper: LinkKeeper, registry: NoticeRegistry, clock: Clock) -> None:
         super().__init__(keeper, clock, ServerNotices)
-        self.book = book
-        book.on_news = self.tell
+        self.registry = registry
+        registry.on_announce = self.tell
 
     def known(self) -> Iterable[ServerNotice]:
         """Return all notices in force; see NewsExchange."""
-        return self.book.all()
+        return self.registry.all()
 
     def as_ages(self, entry: ServerNotice, now: float) -> ServerNotice:
-        """Return a notice as it is told; see NewsExchange."""
+        """Return a notice in the form in which it is sent; see NewsExchange."""
         return entry.as_ages(now)
 
     def take_in(self, entries: Sequence[ServerNotice], now: float, source: str) -> None:
-        """Take in notices; see NewsExchange."""
-        self.book.take([one.told(now) for one in entries], source)
+        """Merge notices from a peer; see NewsExchange."""
+        self.registry.merge([one.from_ages(now) for one in entries], source)
