--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -141,7 +141,7 @@
 
 
 def centres_cut(fleet: LocalFleet) -> None:
-    fleet.network.cut.add(frozenset({"a", "b"}))
+    fleet.network.cut_datacentres.add(frozenset({"a", "b"}))
 
 
 def instance_dies(fleet: LocalFleet) -> None:
--- a/features/fleetevents.py
+++ b/features/fleetevents.py
@@ -32,31 +32,35 @@
 def cut_three(context):
     names = list(context.fleet.instances)
     for name in names[-3:]:
-        context.fleet.network.parted |= {frozenset({name, one}) for one in names if one != name}
+        context.fleet.network.cut_instances |= {
+            frozenset({name, one}) for one in names if one != name
+        }
 
 
 def lose_meeting(context):
     first = meeting(context, context.topic).settings.name
     others = [name for name in context.fleet.instances if name != first]
-    context.fleet.network.parted |= {frozenset({first, one}) for one in others[::2]}
+    context.fleet.network.cut_instances |= {frozenset({first, one}) for one in others[::2]}
 
 
 def two_lose_meeting(context):
     first = meeting(context, context.topic).settings.name
     others = [name for name in context.fleet.instances if name != first]
-    context.fleet.network.parted |= {frozenset({first, one}) for one in others[:2]}
+    context.fleet.network.cut_instances |= {frozenset({first, one}) for one in others[:2]}
 
 
 def cut_all(context):
     names = list(context.fleet.instances)
-    context.fleet.network.parted |= {frozenset({a, b}) for a in names for b in names if a != b}
+    context.fleet.network.cut_instances |= {
+        frozenset({a, b}) for a in names for b in names if a != b
+    }
 
 
 def cut_all_twice(context):
     """Cut all off from each other, for a while and then again, with a calm time between."""
     cut_all(context)
     context.clock.sleep(TWICE_CUT_MS)
-    context.fleet.network.parted.clear()
+    context.fleet.network.cut_instances.clear()
     context.clock.sleep(TWICE_CALM_MS)
     cut_all(context)
 
@@ -72,7 +76,7 @@
 
 
 def cut_datacentre(context):
-    context.fleet.network.cut |= {frozenset({"a", "b"}), frozenset({"a", "c"})}
+    context.fleet.network.cut_datacentres |= {frozenset({"a", "b"}), frozenset({"a", "c"})}
 
 
 def restart_in_turn(context):
--- a/features/forwardbasics.py
+++ b/features/forwardbasics.py
@@ -99,7 +99,7 @@
     return next(
         one
         for one in context.fleet.instances.values()
-        if one.settings.datacentre.startswith(datacentre) and one.fleet.home(topic) is None
+        if one.settings.datacentre.startswith(datacentre) and one.fleet.coordinator(topic) is None
     )
 
 
--- a/features/steps/coldserver_steps.py
+++ b/features/steps/coldserver_steps.py
@@ -171,10 +171,10 @@
     for name in context.cut:
         for other in names:
             if other != name:
-                context.fleet.network.parted.add(frozenset({name, other}))
+                context.fleet.network.cut_instances.add(frozenset({name, other}))
     context.run(context.clock.sleep, CUT_MS)
     for name in context.cut:
-        assert context.fleet.instances[name].fleet.home(prompts_topic("llm")) is None
+        assert context.fleet.instances[name].fleet.coordinator(prompts_topic("llm")) is None
 
 
 @then("those {number:d} sent cold servers nothing")
@@ -187,9 +187,9 @@
 @given("the instance ranked fourth for prompts reaches none of the three before it")
 def reaches_no_firsts(context):
     any_ = next(iter(context.fleet.instances.values()))
-    *firsts, fourth = (one.name for one in any_.fleet.contacts.ranked(prompts_topic("llm"))[:4])
+    *firsts, fourth = (one.name for one in any_.fleet.coordinators.ranked(prompts_topic("llm"))[:4])
     for first in firsts:
-        context.fleet.network.parted.add(frozenset({fourth, first}))
+        context.fleet.network.cut_instances.add(frozenset({fourth, first}))
     context.run(context.clock.sleep, CUT_MS)
     context.fourth = context.fleet.instances[fourth]
 
@@ -197,7 +197,7 @@
 @then("it takes the prompts of all to meet there, and yet sends cold servers nothing")
 def does_not_lead(context):
     topic = prompts_topic("llm")
-    assert context.fourth.fleet.home(topic) is None
+    assert context.fourth.fleet.coordinator(topic) is None
     assert not context.fourth.cold.leadership.leads(topic)
 
 
@@ -259,7 +259,7 @@
     first = meeting(context, prompts_topic("llm")).settings.name
     others = [name for name in context.fleet.instances if name != first]
     for name in others[::2]:
-        context.fleet.network.parted.add(frozenset({name, first}))
+        context.fleet.network.cut_instances.add(frozenset({name, first}))
     context.run(context.clock.sleep, CUT_MS)
 
 
@@ -271,7 +271,7 @@
     turn_cold(context, [name for name, one in context.servers.items() if one[0] == service])
     context.run(context.clock.sleep, float(before))
     for other in context.fleet.instances:
-        context.fleet.network.parted.add(frozenset({"a-new", other}))
+        context.fleet.network.cut_instances.add(frozenset({"a-new", other}))
     context.fleet.listed.history.clear()
 
     def start():
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -101,7 +101,7 @@
 @given("data centres {first} and {second} are cut off from each other")
 @when("data centres {first} and {second} are cut off from each other")
 def cut_from_start(context, first, second):
-    context.fleet.network.cut.add(frozenset({first, second}))
+    context.fleet.network.cut_datacentres.add(frozenset({first, second}))
 
 
 @then("the configuration of {name} is at least {ms:d} ms old")
--- a/features/steps/division_steps.py
+++ b/features/steps/division_steps.py
@@ -11,8 +11,8 @@
 from mountladder.clocks.virtualclock import VirtualClock
 from mountladder.forwarding.backlog import PLACES, Backlog
 from mountladder.forwarding.lending import Lending
+from mountladder.forwarding.partitiondetector import PartitionDetector
 from mountladder.forwarding.ranking import prompts_topic
-from mountladder.forwarding.reach import Reach
 from mountladder.forwarding.stagejob import StageJob
 from mountladder.forwarding.stageorder import StageOrder
 from mountladder.membership.instance import Instance
@@ -138,7 +138,7 @@
 def cut_off(context, name):
     for other in context.servers:
         if other != name:
-            context.fleet.network.cut.add(frozenset({name, other}))
+            context.fleet.network.cut_datacentres.add(frozenset({name, other}))
 
 
 @when("all of them are withdrawn")
@@ -158,7 +158,7 @@
 
 def links_to(instance, topic):
     """Return the links of an instance to those where the work of a topic may meet."""
-    ranked = instance.fleet.contacts.ranked(topic)[:2]
+    ranked = instance.fleet.coordinators.ranked(topic)[:2]
     return [instance.fleet.links.get(one.peer) for one in ranked if one is not instance.me]
 
 
@@ -184,7 +184,7 @@
 
 @when("data centre {name} can be reached again")
 def reached_again(context, name):
-    context.fleet.network.cut.clear()
+    context.fleet.network.cut_datacentres.clear()
 
 
 @when("instance {name} ends")
@@ -222,18 +222,18 @@
     def play():
         one = meeting(context, "enc")
         context.judge = one
-        reach = one.fleet.reach
-        for name in one.membership.heard_at:
-            one.membership.heard_at[name] -= ms
-        reach.judged_at -= ms
-        one.fleet.watch_datacentres()
+        partitions = one.fleet.partitions
+        for name in one.membership.last_seen:
+            one.membership.last_seen[name] -= ms
+        partitions.checked_at -= ms
+        one.fleet.check_datacentres()
 
     context.run(play)
 
 
 @then("it takes no data centre to be cut off")
 def none_cut(context):
-    assert not context.judge.fleet.reach.cut_off()
+    assert not context.judge.fleet.partitions.unreachable()
 
 
 def stage(wanted="", now=0.0):
@@ -300,9 +300,9 @@
         context.taken = []
         fleet.on_link_lost = context.taken.append
         for judge in ("a-1", "a-2"):
-            fleet.reach.believe(judge, (name,))
-        fleet.follow_reach()
-        context.homes = [fleet.home(topic) for topic in sorted(fleet.contacts.topics)]
+            fleet.partitions.record_report(judge, (name,))
+        fleet.apply_partitions()
+        context.homes = [fleet.coordinator(topic) for topic in sorted(fleet.coordinators.topics)]
 
     context.run(play)
 
@@ -341,9 +341,9 @@
 def words(context, first, second):
     context.told_clock = VirtualClock()
     me = Instance("a-3", "x", "a", "", "a-3", cores=1.0, since=0)
-    context.reach = Reach(Membership(me, context.told_clock))
-    context.reach.believe("a-1", named(first))
-    context.reach.believe("a-2", named(second))
+    context.partitions = PartitionDetector(Membership(me, context.told_clock))
+    context.partitions.record_report("a-1", named(first))
+    context.partitions.record_report("a-2", named(second))
 
 
 @when("{ms:d} ms go by for who was told")
@@ -353,4 +353,4 @@
 
 @then("{cut} is taken to be cut off")
 def taken_cut(context, cut):
-    assert context.reach.cut_off() == named(cut), context.reach.cut_off()
+    assert context.partitions.unreachable() == named(cut), context.partitions.unreachable()
--- a/features/steps/era_steps.py
+++ b/features/steps/era_steps.py
@@ -50,12 +50,12 @@
         follower.source = twin
     for other in context.fleet.instances:
         if other != name:
-            context.fleet.network.parted.add(frozenset({name, other}))
+            context.fleet.network.cut_instances.add(frozenset({name, other}))
 
 
 @when("instance {name} reaches the others once more")
 def reaches_again(context, name):
-    context.fleet.network.parted.clear()
+    context.fleet.network.cut_instances.clear()
 
 
 @when("the announcements of instances are watched")
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -67,7 +67,7 @@
 
 @when("data centres {first} and {second} reach each other again")
 def heal(context, first, second):
-    context.fleet.network.cut.discard(frozenset({first, second}))
+    context.fleet.network.cut_datacentres.discard(frozenset({first, second}))
 
 
 def outcome(context, label):
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -71,7 +71,7 @@
 def cut_off(context, name):
     for other in context.fleet.instances:
         if other != name:
-            context.fleet.network.parted.add(frozenset({name, other}))
+            context.fleet.network.cut_instances.add(frozenset({name, other}))
 
 
 @when("{ms:d} ms go by")
@@ -206,7 +206,7 @@
 @when("instance {name} starts alone")
 def starts_alone(context, name):
     for other in context.fleet.instances:
-        context.fleet.network.parted.add(frozenset({name, other}))
+        context.fleet.network.cut_instances.add(frozenset({name, other}))
     context.fleet.start(name)
     context.run(context.clock.sleep, SETTLE_MS)
 
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -203,7 +203,7 @@
     joined = SimpleNamespace(is_divided=lambda service: False)
     here = SimpleNamespace(me=SimpleNamespace(datacentre="a"))
     fleet = SimpleNamespace(
-        home=lambda service: None,
+        coordinator=lambda service: None,
         links={},
         peer_gone=[],
         division=joined,
@@ -319,7 +319,7 @@
 def ranking(instances):
     membership = Membership(instances[0], VirtualClock(), 250.0)
     for one in instances[1:]:
-        membership.hear(one)
+        membership.mark_alive(one)
     return Ranking(membership)
 
 
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -61,7 +61,7 @@
     context.fleet.catalogues[version] = catalogue(version)
     row = SourceRow(CATALOGUE, str(version).encode(), Position(0, 1))
     page = SourcePage((row,), Position(0, 1))
-    context.fleet.instances[name].catalogue_source.take(page, True)
+    context.fleet.instances[name].catalogue_source.on_page(page, True)
 
 
 @when("an older catalogue {version:d} comes to {name} after the store lost its history")
@@ -71,7 +71,7 @@
     newest = source.rows[CATALOGUE]
     source.rows[CATALOGUE] = SourceRow(CATALOGUE, str(version).encode(), newest.position)
     source.version += 1
-    source.forget()
+    source.drop_history()
     context.run(context.clock.sleep, 10_000.0)
 
 
@@ -142,7 +142,7 @@
     context.run(context.clock.sleep, 5_000.0)
     source.put(server, None)
     del source.rows[server]
-    source.forget()
+    source.drop_history()
     source.down = False
 
 
--- a/features/steps/piece_steps.py
+++ b/features/steps/piece_steps.py
@@ -66,7 +66,7 @@
     context.home = meeting(context, service).settings.name
     for other in NAMES:
         if other != context.home:
-            context.fleet.network.parted.add(frozenset({other, context.home}))
+            context.fleet.network.cut_instances.add(frozenset({other, context.home}))
 
 
 @then("every staged request ends with status {status:d}")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -345,7 +345,7 @@
 @then("its routes, services, teams and limits are those of the product")
 def decoded(context):
     found = context.catalogue
-    assert (found.version, found.guarded) == (7, True)
+    assert (found.version, found.requires_key) == (7, True)
     assert [one.name for one in found.routes["x.y"]] == ["b", "a"]
     stream, safe = found.routes["x.y"]
     assert found.match("x.y", "/a/b/c") is stream and found.match("x.y", "/a/c") is safe
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -166,17 +166,17 @@
 
 @given("instances {first} and {second} cannot reach each other")
 def parted(context, first, second):
-    context.fleet.network.parted.add(frozenset({first, second}))
+    context.fleet.network.cut_instances.add(frozenset({first, second}))
 
 
 @given("data centres {first} and {second} cannot reach each other")
 def divided(context, first, second):
-    context.fleet.network.cut.add(frozenset({first, second}))
+    context.fleet.network.cut_datacentres.add(frozenset({first, second}))
 
 
 @when("data centres {first} and {second} reach each other once more")
 def joined(context, first, second):
-    context.fleet.network.cut.discard(frozenset({first, second}))
+    context.fleet.network.cut_datacentres.discard(frozenset({first, second}))
 
 
 @given("the table of bars is {state} while servers end")
@@ -561,7 +561,9 @@
 @given("the instance that does not follow the store and is sent the request cannot write bars")
 def cannot_write(context):
     instances = context.fleet.instances
-    context.sent_to = next(n for n, one in instances.items() if not one.fleet.readers.reading)
+    context.sent_to = next(
+        n for n, one in instances.items() if not one.fleet.reader_election.reading
+    )
     unreachable = MemoryBarStore()
     unreachable.down = True
     instances[context.sent_to].bar_keeper.store = unreachable
--- a/features/steps/reader_steps.py
+++ b/features/steps/reader_steps.py
@@ -7,14 +7,14 @@
 from behave import given, then, when
 
 from mountladder.forwarding.ranking import STORE_TOPIC
-from mountladder.forwarding.readers import Readers
+from mountladder.forwarding.readerelection import ReaderElection
 
 
 def reading(context):
     return [
         name
         for name, one in context.fleet.instances.items()
-        if one.fleet.readers.reading and name not in context.ended
+        if one.fleet.reader_election.reading and name not in context.ended
     ]
 
 
@@ -80,7 +80,7 @@
         twin.silent = True
         source.source = twin
     # The calls under way are still answered.
-    context.run(context.clock.sleep, instance.settings.feed_ms + 20.0)
+    context.run(context.clock.sleep, instance.settings.feed_wait_ms + 20.0)
 
 
 @given("the instance that follows the store has ended")
@@ -95,7 +95,7 @@
     name = first_reader(context)
     for other in context.fleet.instances:
         if other != name:
-            context.fleet.network.parted.add(frozenset({name, other}))
+            context.fleet.network.cut_instances.add(frozenset({name, other}))
 
 
 @given("the instance that follows the store is asked to end")
@@ -107,9 +107,9 @@
 
 @given("the product is changed so that nobody steps in for another")
 def nobody_steps_in(context):
-    plain = Readers.decide
-    Readers.decide = lambda self: not self.better()
-    context.stack.callback(setattr, Readers, "decide", plain)
+    plain = ReaderElection.decide
+    ReaderElection.decide = lambda self: not self.higher_ranked()
+    context.stack.callback(setattr, ReaderElection, "decide", plain)
 
 
 @then("{number:d} instance follows the store")
--- a/features/steps/serverlimit_steps.py
+++ b/features/steps/serverlimit_steps.py
@@ -232,7 +232,7 @@
 def knows(context, ms, server, per_s):
     context.run(context.clock.sleep, float(ms))
     assert context.new.limits.book.per_s(server) == per_s
-    assert context.new.limits.leadership.part("any topic") < 1.0
+    assert context.new.limits.leadership.fraction("any topic") < 1.0
 
 
 @when("it names {word}, and they come for {ms:d} ms more")
@@ -321,7 +321,7 @@
     for server in of_service(context, service):
         name_limit(context, server, per_s)
     holders = {"k": KeyHolder("desk", 0), "low": KeyHolder("low", 1)}
-    newer = replace(catalogue(3), keys=holders, team_levels=(0, 1), route_span=2)
+    newer = replace(catalogue(3), keys=holders, team_priorities=(0, 1), ranks_per_team=2)
     context.fleet.configure(newer)
     context.run(context.clock.sleep, 300.0)
     send(context, rate + other, kind, ms, keys=("k", "low"))
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -15,7 +15,7 @@
 import gevent.socket
 from behave import given, then, when
 
-from mountladder.membership.listener import split
+from mountladder.membership.listener import split_address
 
 sys.path.insert(0, str(Path(__file__).parents[2] / "platform" / "tests"))
 
@@ -296,7 +296,7 @@
 
 
 def wait_until_listening(context):
-    host, port = split(context.instance.listens)
+    host, port = split_address(context.instance.listens)
     with gevent.Timeout(20.0):
         while True:
             try:
--- a/features/steps/transfer_steps.py
+++ b/features/steps/transfer_steps.py
@@ -124,19 +124,19 @@
     context.fleet.directory.apply(records, Position(0, 10_000), "test")
     for number in range(instances):
         address = f"10.1.{number // 250}.{number % 250}:7000"
-        context.fleet.membership.mention(Instance(f"edge-{number}", "", "a", "", address))
+        context.fleet.membership.add_reported(Instance(f"edge-{number}", "", "a", "", address))
     context.known = Directory(VirtualClock())
 
 
 def ask(context, link):
-    context.fleet.greet(link)
+    context.fleet.send_first_messages(link)
     with contextlib.suppress(PeerError):
         context.fleet.send_directory(link, context.known.newest)
     context.messages = link.sent
     for data in link.sent:
         message = decode(data)
         if hasattr(message, "records"):
-            context.known.apply(message.records, message.position, "peer", message.lapse_ms)
+            context.known.apply(message.records, message.position, "peer", message.reappear_ms)
 
 
 @when("a peer that knows none of them asks for them")
@@ -148,7 +148,7 @@
 @when("a peer that knows none of them asks for them and the link breaks after {count:d} messages")
 def asks_in_vain(context, count):
     greeting = RecordingLink()
-    context.fleet.greet(greeting)
+    context.fleet.send_first_messages(greeting)
     ask(context, RecordingLink(len(greeting.sent) + count))
     assert 0 < len(context.known.records) < len(context.fleet.directory.records)
     assert not context.known.ready
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -22,7 +22,7 @@
     if where == "where":
         return meeting(context, topic)
     running = context.fleet.instances.values()
-    return next(one for one in running if one.fleet.home(topic) is not None)
+    return next(one for one in running if one.fleet.coordinator(topic) is not None)
 
 
 def job(context, id_, pieces, due_ms, deadline_ms=2_000.0):
--- a/packages/core/src/mountladder/claims/submitter.py
+++ b/packages/core/src/mountladder/claims/submitter.py
@@ -22,7 +22,7 @@
     StoreUnavailableError,
 )
 from mountladder.membership.link import Link
-from mountladder.membership.membership import GATHERED_FROM
+from mountladder.membership.membership import GATHERING_MIN_INSTANCES
 from mountladder.membership.peers import Peers
 from mountladder.membership.submit import Submit
 from mountladder.membership.submitted import Submitted
@@ -109,7 +109,7 @@
     def gatherer(self) -> Link | None:
         """Return the link to the instance that gathers writes, or None where this one may."""
         live = self.peers.membership.live()
-        if len(live) < GATHERED_FROM or live[0].name == self.peers.membership.me.name:
+        if len(live) < GATHERING_MIN_INSTANCES or live[0].name == self.peers.membership.me.name:
             return None
         return self.peers.links.get(live[0].peer)
 
--- a/packages/core/src/mountladder/forwarding/beacon.py
+++ b/packages/core/src/mountladder/forwarding/beacon.py
@@ -21,23 +21,23 @@
         catalogue: The version of the sender's catalogue, or 0.
         directory: The position of the newest entry in its list of backend servers.
         leaving: Whether it is shutting down.
-        asks: Whether the receiver is to reply with a beacon of its own.
+        wants_reply: Whether the receiver is to reply with a beacon of its own.
         backlogs: How long pieces wait at the services that the sender coordinates.
-        reads: Whether it polls the store itself.
-        fed: Whether the store has answered it within the time that a call may take.
-        judges: Whether it has links to the coordinators of other data centres, so that `cut`
-            counts.
-        cut: The data centres that it then considers unreachable.
+        reads_store: Whether it polls the store itself.
+        store_answers: Whether the store has answered it within the time that a call may take.
+        detects_partitions: Whether it has links to the coordinators of other data centres, so that
+            `unreachable` counts.
+        unreachable: The data centres that it then considers unreachable.
         drains: Every data centre that the operator drains, or has drained before.
     """
 
     catalogue: int
     directory: Position
     leaving: bool
-    asks: bool
+    wants_reply: bool
     backlogs: tuple[Backlog, ...] = ()
-    reads: bool = False
-    fed: bool = False
-    judges: bool = False
-    cut: tuple[str, ...] = ()
+    reads_store: bool = False
+    store_answers: bool = False
+    detects_partitions: bool = False
+    unreachable: tuple[str, ...] = ()
     drains: tuple[DatacentreDrain, ...] = ()
--- a/packages/core/src/mountladder/forwarding/catalogue.py
+++ b/packages/core/src/mountladder/forwarding/catalogue.py
@@ -24,20 +24,20 @@
         routes: The routes of each host, the longest prefix first.
         services: The services by name.
         keys: The holder of each API key.
-        guarded: Whether requests need a key on routes that are not public.
+        requires_key: Whether requests need a key on routes that are not public.
         limits: What callers may send.
-        team_levels: The distinct priorities of teams.
-        route_span: How many ranks each team priority has for the priorities of routes.
+        team_priorities: The distinct priorities of teams.
+        ranks_per_team: How many ranks each team priority has for the priorities of routes.
     """
 
     version: int
     routes: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)
     services: Mapping[str, Service] = field(default_factory=dict)
     keys: Mapping[str, KeyHolder] = field(default_factory=dict)
-    guarded: bool = False
+    requires_key: bool = False
     limits: CallerLimits = CallerLimits()
-    team_levels: tuple[int, ...] = ()
-    route_span: int = 0
+    team_priorities: tuple[int, ...] = ()
+    ranks_per_team: int = 0
 
     def urgency(self, holder: KeyHolder | None, route: Route) -> int:
         """Return the rank of a request; 0 is the most urgent.
@@ -46,8 +46,8 @@
         first, and the route decides between teams of the same priority.
         """
         team = holder.priority if holder is not None else None
-        above = sum(level < team for level in self.team_levels) if team is not None else 0
-        return above * self.route_span + route.priority
+        above = sum(priority < team for priority in self.team_priorities) if team is not None else 0
+        return above * self.ranks_per_team + route.priority
 
     def match(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of a path on a host, or None."""
--- a/packages/core/src/mountladder/forwarding/catalogueassembly.py
+++ b/packages/core/src/mountladder/forwarding/catalogueassembly.py
@@ -20,7 +20,7 @@
 SLICE_BYTES = 8_192
 # The largest accepted catalogue, compressed or decompressed: 3,600 teams with 10,000 routes take
 # about 2 MB.
-MOST_CATALOGUE_BYTES = 8 << 20
+MAX_CATALOGUE_BYTES = 8 << 20
 DIGEST_BYTES = 16
 
 
@@ -33,12 +33,12 @@
 
     Attributes:
         parts: The parts received so far.
-        gathered: Their total size in bytes.
+        received_bytes: Their total size in bytes.
     """
 
     def __init__(self) -> None:
         self.parts: list[CatalogueSlice] = []
-        self.gathered = 0
+        self.received_bytes = 0
 
     def add(self, part: CatalogueSlice) -> bytes | None:
         """Add a part; return the decompressed catalogue once it is complete, else None.
@@ -46,29 +46,29 @@
         Raises:
             PeerError: The catalogue is too large, or its digest does not match.
         """
-        if part.size > MOST_CATALOGUE_BYTES:
+        if part.size > MAX_CATALOGUE_BYTES:
             raise PeerError(
-                f"a catalogue of {part.size} bytes exceeds {MOST_CATALOGUE_BYTES}", Code.BAD_MESSAGE
+                f"a catalogue of {part.size} bytes exceeds {MAX_CATALOGUE_BYTES}", Code.BAD_MESSAGE
             )
         if part.offset == 0:
-            self.parts, self.gathered = [], 0
-        elif not self.follows(part):
+            self.parts, self.received_bytes = [], 0
+        elif not self.continues(part):
             return None
         self.parts.append(part)
-        self.gathered += len(part.data)
-        if self.gathered < part.size:
+        self.received_bytes += len(part.data)
+        if self.received_bytes < part.size:
             return None
         compressed = b"".join(one.data for one in self.parts)
-        self.parts, self.gathered = [], 0
+        self.parts, self.received_bytes = [], 0
         if len(compressed) != part.size or _digest(compressed) != part.digest:
             raise PeerError(
                 "the digest of a reassembled catalogue does not match", Code.BAD_MESSAGE
             )
-        return _inflated(compressed)
+        return _decompressed(compressed)
 
-    def follows(self, part: CatalogueSlice) -> bool:
+    def continues(self, part: CatalogueSlice) -> bool:
         """Return whether a part continues the catalogue being received."""
-        if not self.parts or part.offset != self.gathered:
+        if not self.parts or part.offset != self.received_bytes:
             return False
         last = self.parts[-1]
         return (part.version, part.digest) == (last.version, last.digest)
@@ -93,12 +93,12 @@
     return hashlib.blake2b(compressed, digest_size=DIGEST_BYTES).digest()
 
 
-def _inflated(compressed: bytes) -> bytes:
-    inflater = zlib.decompressobj()
+def _decompressed(compressed: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        inflated = inflater.decompress(compressed, MOST_CATALOGUE_BYTES)
+        decompressed = decompressor.decompress(compressed, MAX_CATALOGUE_BYTES)
     except zlib.error as error:
         raise PeerError(f"a catalogue cannot be decompressed: {error}", Code.BAD_MESSAGE) from error
-    if not inflater.eof:
+    if not decompressor.eof:
         raise PeerError("a compressed catalogue is truncated or too long", Code.BAD_MESSAGE)
-    return inflated
+    return decompressed
--- a/packages/core/src/mountladder/forwarding/cataloguefollower.py
+++ b/packages/core/src/mountladder/forwarding/cataloguefollower.py
@@ -29,7 +29,7 @@
         catalogue: The catalogue in force, or None before the first one.
         encoded: The same in its encoded form, to be sent to peers.
         confirmed_at: When the store was last known to hold nothing newer, or None.
-        is_fed: Returns whether a newer catalogue would reach this instance at present.
+        is_feed_live: Returns whether a newer catalogue would reach this instance at present.
         listeners: Called with each new catalogue.
     """
 
@@ -39,7 +39,7 @@
         self.catalogue: Catalogue | None = None
         self.encoded = b""
         self.confirmed_at: float | None = None
-        self.is_fed: Callable[[], bool] = lambda: False
+        self.is_feed_live: Callable[[], bool] = lambda: False
         self.listeners: list[Callable[[Catalogue], None]] = []
 
     @property
@@ -80,7 +80,7 @@
             source=source,
             version=catalogue.version,
             before=before,
-            age_ms=self.shown_age(),
+            age_ms=self.rounded_age_ms(),
         )
         for listener in self.listeners:
             listener(catalogue)
@@ -97,6 +97,6 @@
             return float("inf")
         return self.clock.now() - self.confirmed_at
 
-    def shown_age(self) -> float | None:
+    def rounded_age_ms(self) -> float | None:
         """Return the age in milliseconds, rounded for a log line, or None if never confirmed."""
         return None if self.confirmed_at is None else round(self.age_ms())
--- a/packages/core/src/mountladder/forwarding/cataloguetransfer.py
+++ b/packages/core/src/mountladder/forwarding/cataloguetransfer.py
@@ -21,7 +21,7 @@
 
 # If no part arrives for this long, a transfer counts as failed and the catalogue is requested
 # again, within three heartbeats.
-SILENT_MS = 750.0
+TRANSFER_TIMEOUT_MS = 750.0
 
 
 class CatalogueTransfer:
@@ -43,20 +43,20 @@
         self.clock = clock
         self.send = send
         self.assemblies: WeakKeyDictionary[Link, CatalogueAssembly] = WeakKeyDictionary()
-        self.serving: WeakSet[Link] = WeakSet()
-        self.heard_at = float("-inf")
+        self.sending: WeakSet[Link] = WeakSet()
+        self.received_at = float("-inf")
 
-    def is_coming(self) -> bool:
+    def is_receiving(self) -> bool:
         """Return whether a catalogue is being received."""
-        return self.clock.now() - self.heard_at < SILENT_MS
+        return self.clock.now() - self.received_at < TRANSFER_TIMEOUT_MS
 
-    def begin(self, link: Link) -> None:
+    def start_sending(self, link: Link) -> None:
         """Start a greenlet that sends the catalogue in force, unless one runs for this link."""
-        if link not in self.serving:
-            self.serving.add(link)
-            gevent.spawn(self.serve, link)
+        if link not in self.sending:
+            self.sending.add(link)
+            gevent.spawn(self.send_catalogue, link)
 
-    def serve(self, link: Link) -> None:
+    def send_catalogue(self, link: Link) -> None:
         """Send the catalogue in force part by part; stop if a newer one replaces it meanwhile."""
         version = self.follower.version
         try:
@@ -67,11 +67,11 @@
         except PeerError as error:
             log_message("catalogue-send-failed", version=version, reason=error.detail)
         finally:
-            self.serving.discard(link)
+            self.sending.discard(link)
 
-    def take(self, part: CatalogueSlice, link: Link) -> None:
+    def receive(self, part: CatalogueSlice, link: Link) -> None:
         """Handle a part from a peer; put the catalogue in force once it is complete."""
-        self.heard_at = self.clock.now()
+        self.received_at = self.clock.now()
         source = f"peer {link.peer.name}"
         try:
             encoded = self.assemblies.setdefault(link, CatalogueAssembly()).add(part)
@@ -80,5 +80,5 @@
             log_message("catalogue-receive-failed", source=source, code=code, reason=error.detail)
             return
         if encoded is not None:
-            self.heard_at = float("-inf")
+            self.received_at = float("-inf")
             self.follower.adopt(encoded, source)
--- a/packages/core/src/mountladder/forwarding/coldservers.py
+++ b/packages/core/src/mountladder/forwarding/coldservers.py
@@ -66,7 +66,7 @@
         Every placement asks for all model servers, so that the clock is read once, and not at all
         while none was cold lately: reading it takes a system call.
         """
-        if not self.directory.cold_until and not self.directory.drains.returned_at:
+        if not self.directory.cold_until and not self.directory.drains.undrained_at:
             return frozenset()
         now = self.clock.now()
         return frozenset(one.name for one in servers if self.is_cold_at(one, now))
@@ -78,7 +78,7 @@
         """
         if self.directory.cold_until.get(server.labels[ID_LABEL], -math.inf) > now:
             return True
-        returned_at = self.directory.drains.returned_at.get(server.datacentre)
+        returned_at = self.directory.drains.undrained_at.get(server.datacentre)
         if returned_at is None:
             return False
         service = self.follower.service(server.labels[SERVICE_LABEL])
--- a/packages/core/src/mountladder/forwarding/connectionshare.py
+++ b/packages/core/src/mountladder/forwarding/connectionshare.py
@@ -32,4 +32,4 @@
         service = self.follower.service(server.labels[SERVICE_LABEL])
         if service is None or not service.most_connections:
             return None
-        return max(1, service.most_connections // (2 * self.membership.sharing()))
+        return max(1, service.most_connections // (2 * self.membership.budget_sharers()))
--- a/packages/core/src/mountladder/forwarding/contacts.py
+++ b/packages/core/src/mountladder/forwarding/coordinators.py
@@ -1,4 +1,4 @@
-# contacts.py -- Finds the coordinators of shared work and the peers to keep links to for it
+# coordinators.py -- Finds the coordinators of shared work and the peers to keep links to for it
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -14,18 +14,18 @@
 
 # In a fleet larger than SMALL_FLEET, links are kept to this many of the highest-ranked instances of
 # each topic: the coordinator and its standby.
-HOMES_KEPT = 2
+COORDINATORS_PER_TOPIC = 2
 # The interval of heartbeats to a coordinator, so that its failure is detected after three of them
 # also in a large fleet, where the interval to other peers grows with their number.
-HOME_HEARTBEAT_MS = 500.0
+COORDINATOR_HEARTBEAT_MS = 500.0
 # The standby only has to be known as alive by the time the coordinator fails.
-SECOND_HEARTBEAT_MS = 1_500.0
+STANDBY_HEARTBEAT_MS = 1_500.0
 # Coordinators of several data centres lend each other work according to how long pieces wait in
 # each. In a burst these waits change by the duration of about one call within this interval.
-PLACE_HEARTBEAT_MS = 250.0
+REMOTE_COORDINATOR_HEARTBEAT_MS = 250.0
 
 
-class Contacts:
+class Coordinators:
     """Maps each topic of shared work to its coordinator, and lists the peers to keep links to.
 
     A topic is a service whose pieces are batched, or the prompts of a service. All work of a topic
@@ -46,12 +46,12 @@
         self.division = division
         self.topics: set[str] = set()
         self.stamp: object = None
-        self.kept_datacentres: frozenset[str] = frozenset()
-        self.kept_homes: list[Instance] = []
-        self.kept_places: list[Instance] = []
-        self.kept_intervals: dict[str, float] = {}
+        self.cached_datacentres: frozenset[str] = frozenset()
+        self.cached_candidates: list[Instance] = []
+        self.cached_remote_candidates: list[Instance] = []
+        self.cached_intervals: dict[str, float] = {}
 
-    def learn(self, catalogue: Catalogue) -> None:
+    def add_topics(self, catalogue: Catalogue) -> None:
         """Add the topics of a catalogue's services."""
         for service in catalogue.services.values():
             if service.batch is not None:
@@ -67,26 +67,26 @@
     def other_datacentres(self) -> frozenset[str]:
         """Return the names of the other data centres that have instances."""
         self.refresh()
-        return self.kept_datacentres
+        return self.cached_datacentres
 
-    def homes(self) -> list[Instance]:
+    def candidates(self) -> list[Instance]:
         """Return the coordinators and standbys of this instance's work, itself excluded."""
         self.refresh()
-        return self.kept_homes
+        return self.cached_candidates
 
-    def places(self, topic: str, datacentre: str) -> list[Instance]:
+    def candidates_in(self, topic: str, datacentre: str) -> list[Instance]:
         """Return a divided topic's coordinator and standby in another data centre."""
-        return self.ranking.ranked(topic, datacentre)[:HOMES_KEPT]
+        return self.ranking.ranked(topic, datacentre)[:COORDINATORS_PER_TOPIC]
 
-    def other_places(self) -> list[Instance]:
+    def remote_candidates(self) -> list[Instance]:
         """Return the other data centres' candidates for the divided topics coordinated here."""
         self.refresh()
-        return self.kept_places
+        return self.cached_remote_candidates
 
     def intervals(self) -> dict[str, float]:
         """Return the heartbeat intervals to coordinators and standbys, in ms, by peer address."""
         self.refresh()
-        return self.kept_intervals
+        return self.cached_intervals
 
     def refresh(self) -> None:
         """Recompute the cached lists if instances, topics or divisions have changed.
@@ -100,20 +100,26 @@
         self.stamp = stamp
         me = self.membership.me
         datacentres = {one.datacentre for one in self.membership.addressed()}
-        self.kept_datacentres = frozenset(datacentres - {me.datacentre})
-        self.kept_places = self.find_other_places()
-        ranked = [self.ranked(topic)[:HOMES_KEPT] for topic in self.topics]
-        self.kept_homes = [one for homes in ranked for one in homes if one is not me]
-        intervals = {one.peer: SECOND_HEARTBEAT_MS for homes in ranked for one in homes}
-        intervals |= {one.peer: HOME_HEARTBEAT_MS for homes in ranked for one in homes[:1]}
-        intervals |= {one.peer: PLACE_HEARTBEAT_MS for one in self.kept_places}
-        self.kept_intervals = intervals
-
-    def find_other_places(self) -> list[Instance]:
+        self.cached_datacentres = frozenset(datacentres - {me.datacentre})
+        self.cached_remote_candidates = self.find_remote_candidates()
+        ranked = [self.ranked(topic)[:COORDINATORS_PER_TOPIC] for topic in self.topics]
+        self.cached_candidates = [
+            one for candidates in ranked for one in candidates if one is not me
+        ]
+        intervals = {one.peer: STANDBY_HEARTBEAT_MS for candidates in ranked for one in candidates}
+        intervals |= {
+            one.peer: COORDINATOR_HEARTBEAT_MS for candidates in ranked for one in candidates[:1]
+        }
+        intervals |= {
+            one.peer: REMOTE_COORDINATOR_HEARTBEAT_MS for one in self.cached_remote_candidates
+        }
+        self.cached_intervals = intervals
+
+    def find_remote_candidates(self) -> list[Instance]:
         """Find the other data centres' candidates for the divided topics coordinated here."""
         found = []
         for topic in self.topics:
             if self.division.is_divided(topic) and self.ranked(topic)[:1] == [self.membership.me]:
-                for datacentre in self.kept_datacentres:
-                    found += self.places(topic, datacentre)
+                for datacentre in self.cached_datacentres:
+                    found += self.candidates_in(topic, datacentre)
         return found
--- a/packages/core/src/mountladder/forwarding/directory.py
+++ b/packages/core/src/mountladder/forwarding/directory.py
@@ -20,13 +20,13 @@
 
 # Entries that expired during an outage of the store are rewritten within about two seconds of its
 # return, so that a server only counts as gone if its entry is missing for longer.
-LAPSE_MS = 2_000.0
+REAPPEAR_MS = 2_000.0
 # An entry may also expire in an outage that this instance did not notice, so removed entries are
 # always kept in use for a while. A leaving server serves for at least two seconds more; half of
 # that is safe.
-KEPT_MS = 1_000.0
+REMOVAL_GRACE_MS = 1_000.0
 # Removed entries are remembered so that an older copy from a peer does not restore them.
-MOST_REMOVED = 1_024
+MAX_REMOVED = 1_024
 
 
 class Directory:
@@ -42,7 +42,7 @@
         position: The position of the store up to which the list is complete.
         newest: The highest position among the entries; compared with that of a peer.
         cold_until: When servers that reported a cold start will be warm, by id.
-        listed_at: The listed servers by their addresses.
+        by_address: The listed servers by their addresses.
         closed: The addresses of the listed servers that are leaving or in a drained data centre.
             Nothing at all is sent to them, not even releases: the results that they hold expire.
         avoided: The unreachable data centres, whose servers are not used if there are others.
@@ -58,34 +58,34 @@
         self.position = BEGINNING
         self.newest = BEGINNING
         self.cold_until: dict[str, float] = {}
-        self.regained_at = float("-inf")
-        self.lapsed: dict[str, tuple[ServerRecord, float]] = {}
+        self.store_reachable_at = float("-inf")
+        self.expiring: dict[str, tuple[ServerRecord, float]] = {}
         self.services: dict[str, tuple[BackendServer, ...]] = {}
         self.reachable: dict[str, tuple[BackendServer, ...]] = {}
-        self.listed_at: dict[str, BackendServer] = {}
+        self.by_address: dict[str, BackendServer] = {}
         self.closed: frozenset[str] = frozenset()
         self.avoided: frozenset[str] = frozenset()
         self.listeners: list[Callable[[], None]] = []
         self.drains = DatacentreDrains(clock)
-        self.drains.listeners.append(self.renew)
+        self.drains.listeners.append(self.rebuild)
         self.leaving_since: Callable[[str], float | None] = lambda name: None
-        self.renew_at = math.inf
+        self.rebuild_at = math.inf
 
     @property
     def ready(self) -> bool:
         """Return whether the list was ever read."""
         return self.position > BEGINNING
 
-    def lapse_ms(self) -> float:
+    def reappear_ms(self) -> float:
         """Return for how long removed entries may still reappear after an outage, in ms."""
-        return max(0.0, self.regained_at + LAPSE_MS - self.clock.now())
+        return max(0.0, self.store_reachable_at + REAPPEAR_MS - self.clock.now())
 
     def apply(
         self,
         records: Iterable[ServerRecord],
         position: Position,
         source: str,
-        lapse_ms: float = 0.0,
+        reappear_ms: float = 0.0,
     ) -> None:
         """Apply changed entries.
 
@@ -93,16 +93,16 @@
             records: The entries; those that are not newer than the known ones are ignored.
             position: The position of the store up to which the sender's list is complete.
             source: Where the entries came from, for the log.
-            lapse_ms: For how long removed entries may still reappear, as known by the sender.
+            reappear_ms: For how long removed entries may still reappear, as known by the sender.
         """
-        until = self.clock.now() + max(KEPT_MS, lapse_ms, self.lapse_ms())
-        changed = [one for one in records if self.is_news(one)]
+        until = self.clock.now() + max(REMOVAL_GRACE_MS, reappear_ms, self.reappear_ms())
+        changed = [one for one in records if self.is_newer(one)]
         for record in changed:
-            self.take(record, source, until)
+            self.apply_record(record, source, until)
         self.position = max(self.position, position)
         if changed:
             self.forget_oldest()
-            self.renew()
+            self.rebuild()
 
     def replace(self, records: Iterable[ServerRecord], position: Position, source: str) -> None:
         """Apply the whole list; entries that it lacks were removed, unless it is an old copy.
@@ -112,19 +112,19 @@
         """
         listed = list(records)
         if self.position > BEGINNING and position.era > self.position.era:
-            self.regained()
+            self.mark_store_reachable()
         if position >= self.position:
             names = {one.id for one in listed}
             missing = [one for one in self.records.values() if one.server and one.id not in names]
             listed += [ServerRecord(one.id, position) for one in missing]
         self.apply(listed, position, source)
 
-    def is_news(self, record: ServerRecord) -> bool:
+    def is_newer(self, record: ServerRecord) -> bool:
         """Return whether an entry is newer than the known one."""
         known = self.records.get(record.id)
         return known is None or record.position > known.position
 
-    def take(self, record: ServerRecord, source: str, until: float) -> None:
+    def apply_record(self, record: ServerRecord, source: str, until: float) -> None:
         """Apply one newer entry; a removed server stays in use while its entry may reappear."""
         known = self.records.get(record.id)
         if known is not None and record.is_older_copy(known):
@@ -135,10 +135,10 @@
         self.records[record.id] = record
         self.newest = max(self.newest, record.position)
         self.note_cold(record)
-        self.lapsed.pop(record.id, None)
+        self.expiring.pop(record.id, None)
         served = known is not None and known.server is not None and not known.server.draining
         if record.server is None and served and self.clock.now() < until:
-            self.lapsed[record.id] = (known, until)
+            self.expiring[record.id] = (known, until)
         log_message(
             "server-listed" if record.server else "server-removed",
             server=record.id,
@@ -150,7 +150,7 @@
             era=record.position.era,
             version=record.position.version,
             cold_ms=round(record.cold_ms),
-            kept_for_ms=round(until - self.clock.now()) if record.id in self.lapsed else 0,
+            kept_for_ms=round(until - self.clock.now()) if record.id in self.expiring else 0,
             source=source,
         )
 
@@ -180,21 +180,21 @@
     def forget_oldest(self) -> None:
         """Drop the oldest removed entries above the limit."""
         removed = [one for one in self.records.values() if one.server is None]
-        if len(removed) > MOST_REMOVED:
+        if len(removed) > MAX_REMOVED:
             removed.sort(key=lambda one: one.position)
-            for record in removed[: len(removed) - MOST_REMOVED]:
+            for record in removed[: len(removed) - MAX_REMOVED]:
                 del self.records[record.id]
 
-    def regained(self) -> None:
+    def mark_store_reachable(self) -> None:
         """Record that the store answers again after an outage."""
-        self.regained_at = self.clock.now()
+        self.store_reachable_at = self.clock.now()
 
     def available(self, service: str) -> tuple[BackendServer, ...]:
         """Return the servers of a service that new work may be sent to."""
-        if self.lapsed:
-            self.drop_lapsed()
-        if self.renew_at < math.inf and self.clock.now() >= self.renew_at:
-            self.renew()
+        if self.expiring:
+            self.drop_expired()
+        if self.rebuild_at < math.inf and self.clock.now() >= self.rebuild_at:
+            self.rebuild()
         return self.reachable.get(service, ())
 
     def find(self, name: str) -> BackendServer | None:
@@ -207,51 +207,57 @@
     def avoid(self, datacentres: frozenset[str]) -> None:
         """Exclude the servers of unreachable data centres from services that have others."""
         self.avoided = datacentres
-        self.renew()
+        self.rebuild()
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Drop servers whose entries have not reappeared in time."""
         now = self.clock.now()
-        late = [id_ for id_, (_, until) in self.lapsed.items() if until <= now]
+        late = [id_ for id_, (_, until) in self.expiring.items() if until <= now]
         for id_ in late:
-            del self.lapsed[id_]
-            log_message("server-expired", server=id_, waited_ms=LAPSE_MS)
+            del self.expiring[id_]
+            log_message("server-expired", server=id_, waited_ms=REAPPEAR_MS)
         if late:
-            self.renew()
+            self.rebuild()
 
-    def renew(self) -> None:
+    def rebuild(self) -> None:
         """Recompute the available servers of each service and notify the listeners."""
-        records = [*self.records.values(), *(record for record, _ in self.lapsed.values())]
+        records = [*self.records.values(), *(record for record, _ in self.expiring.values())]
         listed = [one for one in records if one.server is not None and self.is_open(one.server)]
         staying = [one for one in listed if self.leaving_since(one.server.name) is None]
-        self.services = _by_service(self.just_told(listed)) | _by_service(staying)
-        self.reachable = {name: self.outside_cuts(all_) for name, all_ in self.services.items()}
+        self.services = _by_service(self.just_leaving(listed)) | _by_service(staying)
+        self.reachable = {
+            name: self.outside_unreachable(all_) for name, all_ in self.services.items()
+        }
         servers = [one.server for one in self.records.values() if one.server is not None]
-        self.listed_at = {one.address: one for one in servers}
+        self.by_address = {one.address: one for one in servers}
         self.closed = frozenset(one.address for one in servers if self.is_closed(one))
         for listener in self.listeners:
             listener()
 
-    def just_told(self, records: Sequence[ServerRecord]) -> list[ServerRecord]:
+    def just_leaving(self, records: Sequence[ServerRecord]) -> list[ServerRecord]:
         """Return the entries of servers that announced only a moment ago that they are leaving.
 
         A service that has no others goes on using them for a while, in which new ones may start.
         """
         now = self.clock.now()
-        told = {one.id: self.leaving_since(one.server.name) for one in records}
-        until = {id_: since + KEPT_MS for id_, since in told.items() if since is not None}
-        self.renew_at = min((at for at in until.values() if at > now), default=math.inf)
+        announced_at = {one.id: self.leaving_since(one.server.name) for one in records}
+        until = {
+            id_: since + REMOVAL_GRACE_MS
+            for id_, since in announced_at.items()
+            if since is not None
+        }
+        self.rebuild_at = min((at for at in until.values() if at > now), default=math.inf)
         return [one for one in records if until.get(one.id, now) > now]
 
     def is_open(self, server: BackendServer) -> bool:
         """Return whether new work may be sent to a listed server."""
         return not server.draining and not self.drains.is_drained(server.datacentre)
 
-    def outside_cuts(self, servers: tuple[BackendServer, ...]) -> tuple[BackendServer, ...]:
+    def outside_unreachable(self, servers: tuple[BackendServer, ...]) -> tuple[BackendServer, ...]:
         """Return the servers outside unreachable data centres, or all if there are none."""
         return tuple(one for one in servers if one.datacentre not in self.avoided) or servers
 
-    def is_cut_off(self, service: str) -> bool:
+    def is_unreachable(self, service: str) -> bool:
         """Return whether a service has servers, all of them in unreachable data centres."""
         servers = self.services.get(service, ())
         return bool(servers) and all(one.datacentre in self.avoided for one in servers)
@@ -276,7 +282,7 @@
         """Return the names of the listed servers."""
         return frozenset(one.server.name for one in self.records.values() if one.server is not None)
 
-    def since(self, position: Position) -> list[ServerRecord]:
+    def changed_since(self, position: Position) -> list[ServerRecord]:
         """Return the entries that changed after a position, the oldest change first.
 
         In this order, a receiver that gets only some of them lacks only newer ones. Their
--- a/packages/core/src/mountladder/forwarding/directorycopy.py
+++ b/packages/core/src/mountladder/forwarding/directorycopy.py
@@ -19,9 +19,9 @@
     Attributes:
         position: The position up to which the sender's list is complete.
         records: The entries that changed after the requested position.
-        lapse_ms: For how long removed entries may still reappear after the store's return.
+        reappear_ms: For how long removed entries may still reappear after the store's return.
     """
 
     position: Position
     records: tuple[ServerRecord, ...]
-    lapse_ms: float = 0.0
+    reappear_ms: float = 0.0
--- a/packages/core/src/mountladder/forwarding/fleet.py
+++ b/packages/core/src/mountladder/forwarding/fleet.py
@@ -18,19 +18,19 @@
 from mountladder.forwarding.cataloguefollower import CatalogueFollower
 from mountladder.forwarding.catalogueslice import CatalogueSlice
 from mountladder.forwarding.cataloguetransfer import CatalogueTransfer
-from mountladder.forwarding.contacts import Contacts
+from mountladder.forwarding.coordinators import Coordinators
 from mountladder.forwarding.directory import Directory
 from mountladder.forwarding.directorycopy import DirectoryCopy
 from mountladder.forwarding.division import Division
 from mountladder.forwarding.memberlist import MemberList
-from mountladder.forwarding.messageparts import directory_copies, parts_of
+from mountladder.forwarding.messageparts import chunked, directory_copies
+from mountladder.forwarding.partitiondetector import PartitionDetector
 from mountladder.forwarding.ranking import SMALL_FLEET, Ranking
-from mountladder.forwarding.reach import Reach
-from mountladder.forwarding.readers import Readers
-from mountladder.forwarding.want import Want
+from mountladder.forwarding.readerelection import ReaderElection
+from mountladder.forwarding.updaterequest import UpdateRequest
 from mountladder.membership.instance import Instance
 from mountladder.membership.link import Link
-from mountladder.membership.linkkeeper import LinkKeeper
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.membership.membership import MISSED_HEARTBEATS, Membership
 from mountladder.membership.network import Network
 from mountladder.metrics.metrics import Metrics
@@ -39,12 +39,12 @@
 
 # How long an instance that polls the store waits for a change from there before it requests it from
 # a peer.
-STORE_FIRST_MS = 150.0
+STORE_HEAD_START_MS = 150.0
 # Several changes are often read at once; this delay lets one message announce them all.
-TELL_MS = 15.0
+ANNOUNCE_DELAY_MS = 15.0
 
 
-class Fleet(LinkKeeper):
+class Fleet(LinkManager):
     """Keeps links to other instances and exchanges liveness, versions and coordinators' state.
 
     Instances announce the versions of their catalogue and list of servers in beacons; a peer that
@@ -55,12 +55,12 @@
         network: Opens links.
         clock: The clock.
         metrics: Where bytes and errors are counted.
-        seeds: Addresses of instances to start from.
+        seeds: Addresses of instances to connect to while no other is known.
         follower: The catalogue in force.
         directory: The list of backend servers.
 
     Attributes:
-        contacts: Finds the coordinator of each topic.
+        coordinators: Finds the coordinator of each topic.
         division: Decides which services each data centre coordinates by itself.
         peer_gone: Called with each link that a peer had opened, when it closes.
         eras: Detects that the store was restored from an older copy.
@@ -69,7 +69,7 @@
             data centre.
     """
 
-    answered = True
+    expects_replies = True
 
     def __init__(
         self,
@@ -88,57 +88,59 @@
         self.transfer = CatalogueTransfer(follower, clock, self.send)
         self.ranking = Ranking(membership)
         self.division = Division(directory, membership.me.datacentre)
-        self.contacts = Contacts(membership, self.ranking, self.division)
-        self.reach = Reach(membership)
-        self.readers = Readers(self.ranking.near, membership.me, clock)
-        self.is_fed: Callable[[], bool] = lambda: False
-        self.telling = False
+        self.coordinators = Coordinators(membership, self.ranking, self.division)
+        self.partitions = PartitionDetector(membership)
+        self.reader_election = ReaderElection(self.ranking.reader_group, membership.me, clock)
+        self.is_store_answering: Callable[[], bool] = lambda: False
+        self.announcing = False
         self.backlogs: Callable[[], tuple[Backlog, ...]] = tuple
         self.on_backlog: Callable[[Backlog, str], None] = lambda backlog, datacentre: None
         self.peer_gone: list[Callable[[Link], None]] = []
-        self.subscribe(CatalogueSlice, self.transfer.take)
-        follower.listeners.append(self.learn_topics)
-        follower.listeners.append(lambda catalogue: self.tell_soon())
-        directory.listeners.append(self.tell_soon)
+        self.subscribe(CatalogueSlice, self.transfer.receive)
+        follower.listeners.append(self.add_topics)
+        follower.listeners.append(lambda catalogue: self.announce_soon())
+        directory.listeners.append(self.announce_soon)
 
-    def learn_topics(self, catalogue: Catalogue) -> None:
+    def add_topics(self, catalogue: Catalogue) -> None:
         """Open links to the coordinators of a catalogue's services before the first request.
 
         An instance without a link to the coordinator batches its pieces alone, and its calls
         compete with those of all others.
         """
-        self.contacts.learn(catalogue)
+        self.coordinators.add_topics(catalogue)
         self.retarget.set()
 
-    def places(self, service: str) -> dict[str, Link]:
+    def coordinator_links(self, service: str) -> dict[str, Link]:
         """Return links to a divided service's coordinators in the other data centres.
 
         Returns:
             The links by the name of the data centre.
         """
         found = {}
-        for datacentre in self.contacts.other_datacentres():
-            for one in self.contacts.places(service, datacentre):
+        for datacentre in self.coordinators.other_datacentres():
+            for one in self.coordinators.candidates_in(service, datacentre):
                 link = self.links.get(one.peer)
                 if link is not None and self.is_usable(link):
                     found[datacentre] = link
                     break
         return found
 
-    def watch_datacentres(self) -> None:
+    def check_datacentres(self) -> None:
         """Recheck which data centres with links to coordinators are unreachable."""
-        if self.reach.judge({one.datacentre for one in self.contacts.other_places()}):
-            self.pulse()
-        self.follow_reach()
+        if self.partitions.check({one.datacentre for one in self.coordinators.remote_candidates()}):
+            self.announce_reader()
+        self.apply_partitions()
 
-    def follow_reach(self) -> None:
+    def apply_partitions(self) -> None:
         """Avoid the unreachable data centres, and move the work that was left to them."""
-        cut = self.reach.cut_off()
-        lost = cut - self.directory.avoided
-        if cut == self.directory.avoided:
+        unreachable = self.partitions.unreachable()
+        lost = unreachable - self.directory.avoided
+        if unreachable == self.directory.avoided:
             return
-        log_message("datacentres-avoided", now=sorted(cut), before=sorted(self.directory.avoided))
-        self.directory.avoid(cut)
+        log_message(
+            "datacentres-avoided", now=sorted(unreachable), before=sorted(self.directory.avoided)
+        )
+        self.directory.avoid(unreachable)
         for address, link in list(self.links.items()):
             if link.peer.datacentre in lost:
                 self.on_link_lost(address)
@@ -153,24 +155,24 @@
         if len(known) <= SMALL_FLEET:
             return known
         chosen = {one.name: one for one in super().targets()}
-        shared = [*self.contacts.homes(), *self.contacts.other_places()]
+        shared = [*self.coordinators.candidates(), *self.coordinators.remote_candidates()]
         chosen |= {one.name: one for one in shared}
         return list(chosen.values())
 
     def interval_ms(self, address: str) -> float:
         """Return the time between heartbeats to a peer, in milliseconds."""
         usual_ms = super().interval_ms(address)
-        return min(usual_ms, self.contacts.intervals().get(address, usual_ms))
+        return min(usual_ms, self.coordinators.intervals().get(address, usual_ms))
 
     def is_alive(self, peer: Instance) -> bool:
         """Return whether a peer has sent anything within the last heartbeat intervals."""
         limit_ms = MISSED_HEARTBEATS * self.interval_ms(peer.peer)
         return self.membership.silence_ms(peer) <= limit_ms
 
-    def home(self, service: str) -> Link | None:
+    def coordinator(self, service: str) -> Link | None:
         """Return a link to the coordinator of a service, or None if it is this instance."""
-        self.contacts.topics.add(service)
-        for one in self.contacts.ranked(service):
+        self.coordinators.topics.add(service)
+        for one in self.coordinators.ranked(service):
             if one is self.membership.me:
                 return None
             link = self.links.get(one.peer)
@@ -179,51 +181,53 @@
         return None
 
     def heartbeat(self) -> Beacon:
-        """Return a beacon that asks for a reply; see LinkKeeper."""
-        return self.beacon(asks=True)
+        """Return a beacon that asks for a reply; see LinkManager."""
+        return self.beacon(wants_reply=True)
 
-    def beacon(self, asks: bool) -> Beacon:
+    def beacon(self, wants_reply: bool) -> Beacon:
         """Return this instance's beacon.
 
         Args:
-            asks: Whether the receiver is to reply with its own.
+            wants_reply: Whether the receiver is to reply with its own.
         """
         return Beacon(
             self.follower.version,
             self.directory.newest,
             self.leaving,
-            asks,
+            wants_reply,
             self.backlogs(),
-            self.readers.reading,
-            self.is_fed(),
-            bool(self.contacts.other_places()),
-            tuple(sorted(self.reach.silent)),
-            self.directory.drains.told(),
+            self.reader_election.reading,
+            self.is_store_answering(),
+            bool(self.coordinators.remote_candidates()),
+            tuple(sorted(self.partitions.silent)),
+            self.directory.drains.all_entries(),
         )
 
-    def tell_soon(self) -> None:
+    def announce_soon(self) -> None:
         """Announce new versions to peers after a short delay, in one message."""
-        if not self.telling:
-            self.telling = True
-            self.clock.call_later(TELL_MS, self.tell_news)
+        if not self.announcing:
+            self.announcing = True
+            self.clock.call_later(ANNOUNCE_DELAY_MS, self.announce_versions)
 
-    def tell_news(self) -> None:
+    def announce_versions(self) -> None:
         """Announce this instance's versions to peers.
 
         If another instance polls the store for this data centre, it announces them there itself,
         and only other data centres are sent them from here.
         """
-        self.telling = False
+        self.announcing = False
         here = self.membership.me.datacentre
-        led = not self.readers.reading and self.readers.has_fed_peer()
+        reader_announces = (
+            not self.reader_election.reading and self.reader_election.has_live_reader()
+        )
         for link in list(self.links.values()):
-            if not led or link.peer.datacentre != here:
-                self.send_later(link, self.beacon(asks=False))
+            if not reader_announces or link.peer.datacentre != here:
+                self.send_later(link, self.beacon(wants_reply=False))
 
-    def pulse(self) -> None:
+    def announce_reader(self) -> None:
         """Announce to the reader group whether this instance polls the store and gets answers."""
-        for link in self.near_links():
-            self.send_later(link, self.beacon(asks=False))
+        for link in self.reader_group_links():
+            self.send_later(link, self.beacon(wants_reply=False))
 
     def serve(self, link: Link) -> None:
         """Serve a link that a peer opened, until it breaks."""
@@ -233,63 +237,67 @@
             for listener in self.peer_gone:
                 listener(link)
 
-    def greeting(self) -> Beacon:
+    def first_message(self) -> Beacon:
         """Return the first message to a peer that has just connected."""
-        return self.beacon(asks=False)
+        return self.beacon(wants_reply=False)
 
-    def tell_members(self, instances: Sequence[Instance], links: Sequence[Link]) -> None:
+    def send_members(self, instances: Sequence[Instance], links: Sequence[Link]) -> None:
         """Send a list of instances to peers."""
-        for part in parts_of(instances):
+        for part in chunked(instances):
             for link in links:
                 self.send_later(link, MemberList(part))
 
-    def near_links(self) -> list[Link]:
+    def reader_group_links(self) -> list[Link]:
         """Return the links to the instances that share one reader of the store with this one."""
-        near = {one.peer for one in self.ranking.near()}
-        return [link for address, link in self.links.items() if address in near]
+        reader_group = {one.peer for one in self.ranking.reader_group()}
+        return [link for address, link in self.links.items() if address in reader_group]
 
     @singledispatchmethod
     def handle(self, message: object, link: Link) -> None:
         """Handle a message; types not handled here go to their subscribers."""
-        self.hand_over(message, link)
+        self.dispatch(message, link)
 
     @handle.register
     def _(self, message: Beacon, link: Link) -> None:
         source = f"peer {link.peer.name}"
-        self.membership.hear(link.peer, message.leaving)
-        self.readers.hear(link.peer, message)
+        self.membership.mark_alive(link.peer, message.leaving)
+        self.reader_election.record(link.peer, message)
         self.directory.drains.apply(message.drains, source)
         self.eras.see(message.directory.era, source)
-        if message.reads and message.fed and message.catalogue <= self.follower.version:
+        if (
+            message.reads_store
+            and message.store_answers
+            and message.catalogue <= self.follower.version
+        ):
             self.follower.confirm(self.clock.now())
-        if message.judges and link.peer.datacentre == self.membership.me.datacentre:
-            self.reach.believe(link.peer.name, message.cut)
-            self.follow_reach()
+        if message.detects_partitions and link.peer.datacentre == self.membership.me.datacentre:
+            self.partitions.record_report(link.peer.name, message.unreachable)
+            self.apply_partitions()
         for backlog in message.backlogs:
             self.on_backlog(backlog, link.peer.datacentre)
-        if message.asks:
-            self.send(link, self.beacon(asks=False))
+        if message.wants_reply:
+            self.send(link, self.beacon(wants_reply=False))
         newer = message.catalogue > self.follower.version
         if newer or message.directory > self.directory.newest:
-            wait_ms = STORE_FIRST_MS if self.readers.reading else 0.0
-            self.clock.call_later(wait_ms, lambda: self.ask(message, link))
+            wait_ms = STORE_HEAD_START_MS if self.reader_election.reading else 0.0
+            self.clock.call_later(wait_ms, lambda: self.request_updates(message, link))
 
-    def ask(self, told: Beacon, link: Link) -> None:
+    def request_updates(self, announced: Beacon, link: Link) -> None:
         """Request what a peer announced, unless the store has delivered it meanwhile."""
-        lacks = told.catalogue > self.follower.version and not self.transfer.is_coming()
+        lacks = announced.catalogue > self.follower.version and not self.transfer.is_receiving()
         catalogue = self.follower.version if lacks else -1
-        directory = self.directory.newest if told.directory > self.directory.newest else None
+        directory = self.directory.newest if announced.directory > self.directory.newest else None
         if catalogue >= 0 or directory is not None:
-            self.send_later(link, Want(catalogue, directory))
+            self.send_later(link, UpdateRequest(catalogue, directory))
 
     @handle.register
-    def _(self, message: Want, link: Link) -> None:
+    def _(self, message: UpdateRequest, link: Link) -> None:
         if 0 <= message.catalogue < self.follower.version:
-            self.transfer.begin(link)
+            self.transfer.start_sending(link)
         if message.directory is not None and message.directory < self.directory.newest:
             self.send_directory(link, message.directory)
         if message.members:
-            self.tell_members(self.membership.addressed(), [link])
+            self.send_members(self.membership.addressed(), [link])
 
     def send_directory(self, link: Link, since: Position) -> None:
         """Send the entries of the list of servers that changed after a position."""
@@ -299,4 +307,4 @@
     @handle.register
     def _(self, message: DirectoryCopy, link: Link) -> None:
         source = f"peer {link.peer.name}"
-        self.directory.apply(message.records, message.position, source, message.lapse_ms)
+        self.directory.apply(message.records, message.position, source, message.reappear_ms)
--- a/packages/core/src/mountladder/forwarding/forwarder.py
+++ b/packages/core/src/mountladder/forwarding/forwarder.py
@@ -73,7 +73,7 @@
             team=run.team,
             service=run.service,
             version=catalogue.version,
-            catalogue_age_ms=self.context.follower.shown_age(),
+            catalogue_age_ms=self.context.follower.rounded_age_ms(),
             allowed_ms=round(request.allowed_ms),
             pieces=request.pieces,
             tokens=request.prompt.tokens if request.prompt else 0,
@@ -95,14 +95,14 @@
     ) -> KeyHolder | None:
         """Return who holds the key of a request; None where the route needs none."""
         holder = catalogue.keys.get(request.key)
-        if holder is None and catalogue.guarded and not route.public:
+        if holder is None and catalogue.requires_key and not route.public:
             raise self.unknown(Code.UNAUTHENTICATED)
         return holder
 
     def unknown(self, code: Code) -> RefusalError:
         """Return the refusal of what the catalogue does not know, which a newer one may."""
         follower = self.context.follower
-        if follower.age_ms() > STALE_MS and not follower.is_fed():
+        if follower.age_ms() > STALE_MS and not follower.is_feed_live():
             detail = "the catalogue was not confirmed lately"
             return RefusalError(detail, Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         return RefusalError("", code)
@@ -119,5 +119,5 @@
             code=error.code.number,
             reason=error.detail,
             version=follower.version,
-            catalogue_age_ms=follower.shown_age(),
+            catalogue_age_ms=follower.rounded_age_ms(),
         )
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -28,10 +28,11 @@
 from mountladder.forwarding.forwardingsettings import ForwardingSettings
 from mountladder.forwarding.leadership import Leadership
 from mountladder.forwarding.memberreader import MemberReader
+from mountladder.forwarding.pageapplier import PageApplier
 from mountladder.forwarding.placementdesk import PlacementDesk
 from mountladder.forwarding.platformtables import PlatformTables
 from mountladder.forwarding.promptplacer import PromptPlacer
-from mountladder.forwarding.readers import PULSE_MS
+from mountladder.forwarding.readerelection import READER_BEACON_MS
 from mountladder.forwarding.retrybudgets import RetryBudgets
 from mountladder.forwarding.serverpicker import ServerPicker
 from mountladder.forwarding.source import Source
@@ -39,7 +40,6 @@
 from mountladder.forwarding.sourcepage import SourcePage
 from mountladder.forwarding.stagedispatch import StageDispatch
 from mountladder.forwarding.stageforecast import StageForecast
-from mountladder.forwarding.storeintake import StoreIntake
 from mountladder.forwarding.upstream import Upstream
 from mountladder.membership.instance import Instance
 from mountladder.membership.membership import Membership
@@ -142,17 +142,17 @@
         self.dispatch = StageDispatch(self.fleet, self.make_batcher, clock)
         self.directory.listeners.append(self.pump)
         self.forwarder = Forwarder(self.make_context(picker))
-        intake = StoreIntake(self.tables, self.follower, self.directory, self.fleet.eras, clock)
+        applier = PageApplier(self.tables, self.follower, self.directory, self.fleet.eras, clock)
         self.catalogue_source = self.make_follower(
-            "catalogue", self.tables.catalogue, intake.take_catalogue
+            "catalogue", self.tables.catalogue, applier.apply_catalogue
         )
         self.directory_source = self.make_follower(
-            "servers", self.tables.servers, intake.take_servers
+            "servers", self.tables.servers, applier.apply_servers
         )
-        self.directory_source.on_regained = self.directory.regained
+        self.directory_source.on_reachable = self.directory.mark_store_reachable
         self.member_reader = MemberReader(self.tables.instances, self.fleet, clock)
-        self.fleet.is_fed = self.is_answered
-        self.follower.is_fed = self.is_fed
+        self.fleet.is_store_answering = self.is_answered
+        self.follower.is_feed_live = self.is_fed
 
     def build_quarantine(self, upstream: Upstream) -> None:
         """Put the parts together that know under which requests servers end."""
@@ -165,9 +165,9 @@
             self.metrics,
         )
         self.directory.listeners.append(self.quarantine.ends.look)
-        book, readers = self.quarantine.book, self.fleet.readers
+        book, reader_election = self.quarantine.book, self.fleet.reader_election
         book.on_server_ended = self.take_out
-        self.bar_keeper = BarKeeper(self.tables.bars, book, readers, self.clock)
+        self.bar_keeper = BarKeeper(self.tables.bars, book, reader_election, self.clock)
         self.fleet.eras.listeners.append(self.bar_keeper.write_again)
 
     def take_out(self, name: str) -> None:
@@ -198,19 +198,19 @@
         self, name: str, source: Source, take: Callable[[SourcePage, bool], None]
     ) -> SourceFollower:
         """Return a follower of a table, which follows it while that is this instance's to do."""
-        readers = self.fleet.readers
+        reader_election = self.fleet.reader_election
         follower = SourceFollower(
             name,
             source,
             self.clock,
             self.metrics,
             take,
-            self.settings.feed_ms,
-            readers.is_due,
-            readers.idle_ms,
+            self.settings.feed_wait_ms,
+            reader_election.is_due,
+            reader_election.idle_ms,
         )
-        readers.nudges.append(follower.nudge)
-        follower.on_lost = self.fleet.pulse
+        reader_election.wake_events.append(follower.wake)
+        follower.on_unreachable = self.fleet.announce_reader
         return follower
 
     def make_batcher(self, service: str) -> Batcher:
@@ -239,11 +239,11 @@
         """Tell whether news of the catalogue would come, from the store and from some peer."""
         known = self.membership.addressed()
         heard = not known or any(self.fleet.is_alive(one) for one in known)
-        return heard and (self.is_answered() or self.fleet.readers.has_fed_peer())
+        return heard and (self.is_answered() or self.fleet.reader_election.has_live_reader())
 
     def is_answered(self) -> bool:
         """Tell whether this instance follows the store and is answered."""
-        return self.catalogue_source.fed and self.directory_source.fed
+        return self.catalogue_source.is_answered and self.directory_source.is_answered
 
     @property
     def leaving(self) -> bool:
@@ -275,22 +275,22 @@
     def keep_telling(self) -> None:
         """Tell those near that this instance follows the store for them, while it does."""
         while True:
-            self.clock.sleep(PULSE_MS)
-            if self.fleet.readers.reading:
-                self.fleet.pulse()
+            self.clock.sleep(READER_BEACON_MS)
+            if self.fleet.reader_election.reading:
+                self.fleet.announce_reader()
 
     def keep_watching(self) -> None:
         """Look which data centres can be reached, often where this instance judges that."""
         while True:
-            judges = bool(self.fleet.contacts.other_places())
+            judges = bool(self.fleet.coordinators.remote_candidates())
             self.clock.sleep(WATCH_MS if judges else WATCH_IDLE_MS)
-            self.fleet.watch_datacentres()
+            self.fleet.check_datacentres()
 
     def leave(self) -> None:
         """Tell the balancer and the peers that this instance is about to end."""
         self.departure.begin()
         self.fleet.leaving = self.fleet.ranking.leaving = True
-        self.fleet.tell_all()
+        self.fleet.send_heartbeats()
 
     def close(self) -> None:
         """End every task."""
--- a/packages/core/src/mountladder/forwarding/forwardingsettings.py
+++ b/packages/core/src/mountladder/forwarding/forwardingsettings.py
@@ -15,8 +15,8 @@
 MS_PER_SECOND = 1000.0
 # The fraction of the drain time that one call for changes waits at the store. An unanswered call is
 # noticed after this wait and the time allowed for an answer. With the time that a successor needs
-# to take over (Readers), over a quarter of the drain time is left to act on a change.
-FEED_SHARE = 0.25
+# to take over (ReaderElection), over a quarter of the drain time is left to act on a change.
+FEED_WAIT_FRACTION = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,9 +79,9 @@
         return self.core_share * self.core_speed
 
     @property
-    def feed_ms(self) -> float:
+    def feed_wait_ms(self) -> float:
         """Return how long one call for changes waits at the store, in milliseconds."""
-        return FEED_SHARE * self.drain_ms
+        return FEED_WAIT_FRACTION * self.drain_ms
 
     @classmethod
     def read(cls, text: str, source: str) -> ForwardingSettings:
--- a/packages/core/src/mountladder/forwarding/leadership.py
+++ b/packages/core/src/mountladder/forwarding/leadership.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from mountladder.clocks.clock import Clock
-from mountladder.forwarding.contacts import HOMES_KEPT
+from mountladder.forwarding.coordinators import COORDINATORS_PER_TOPIC
 from mountladder.forwarding.fleet import Fleet
 
 # After this time since its start an instance knows all others: it reads their list within about
@@ -16,10 +16,10 @@
 # How long a result is cached: computing it checks every link, and every prompt needs it while
 # servers are cold. A silent link is detected after three heartbeats, at least 750 ms, so little is
 # lost.
-KEPT_MS = 50.0
+CACHE_MS = 50.0
 # The fraction of a common limit that all instances together may spend which cannot leave it to a
 # certain coordinator. Servers tolerate half as much again over their limit.
-ALONE_PART = 0.4
+ALONE_FRACTION = 0.4
 
 
 class Leadership:
@@ -38,41 +38,41 @@
         self.fleet = fleet
         self.clock = clock
         self.started = clock.now()
-        self.kept: dict[str, tuple[float, bool]] = {}
+        self.cache: dict[str, tuple[float, bool]] = {}
 
     def leads(self, topic: str) -> bool:
         """Return whether this instance is certain to coordinate a topic."""
         now = self.clock.now()
         if now < self.started + LEAD_AFTER_MS:
             return False
-        until, answer = self.kept.get(topic, (now, False))
+        until, answer = self.cache.get(topic, (now, False))
         if until <= now:
             answer = self.reaches_most(topic)
-            self.kept[topic] = (now + KEPT_MS, answer)
+            self.cache[topic] = (now + CACHE_MS, answer)
         return answer
 
-    def part(self, topic: str) -> float:
+    def fraction(self, topic: str) -> float:
         """Return what fraction of a server's common limit this instance may spend."""
         if self.leads(topic):
             return 1.0
-        return ALONE_PART * self.served(topic) / self.fleet.membership.sharing()
+        return ALONE_FRACTION * self.count_served(topic) / self.fleet.membership.budget_sharers()
 
-    def served(self, topic: str) -> int:
+    def count_served(self, topic: str) -> int:
         """Return how many instances this one decides for: one, or itself and those it reaches.
 
         Instances on the far side of a partition leave their work to a coordinator there.
         """
-        if self.fleet.home(topic) is not None:
+        if self.fleet.coordinator(topic) is not None:
             return 1
-        return 1 + self.reached()
+        return 1 + self.count_answering()
 
     def reaches_most(self, topic: str) -> bool:
         """Return whether this instance is a topic's coordinator and reaches most others."""
-        firsts = self.fleet.contacts.ranked(topic)[:HOMES_KEPT]
-        if self.fleet.membership.me not in firsts or self.fleet.home(topic) is not None:
+        candidates = self.fleet.coordinators.ranked(topic)[:COORDINATORS_PER_TOPIC]
+        if self.fleet.membership.me not in candidates or self.fleet.coordinator(topic) is not None:
             return False
-        return 2 * self.reached() >= len(self.fleet.dialers)
+        return 2 * self.count_answering() >= len(self.fleet.dialers)
 
-    def reached(self) -> int:
+    def count_answering(self) -> int:
         """Return how many of the other instances answer this one."""
         return sum(self.fleet.is_answering(link) for link in self.fleet.links.values())
--- a/packages/core/src/mountladder/forwarding/memberreader.py
+++ b/packages/core/src/mountladder/forwarding/memberreader.py
@@ -14,13 +14,13 @@
 from mountladder.errors import StoreAmbiguousError, StoreUnavailableError
 from mountladder.forwarding.fleet import Fleet
 from mountladder.forwarding.memberlist import MemberList
-from mountladder.forwarding.want import Want
+from mountladder.forwarding.updaterequest import UpdateRequest
 from mountladder.membership.link import Link
 from mountladder.store.eras import OLDEST_COPY_MS
 from mountladder.store.instancelist import InstanceList
 
 # How often the list is read again; new instances connect to their peers before.
-READ_MS = 20_000.0
+READ_INTERVAL_MS = 20_000.0
 RETRY_MS = 1_000.0
 # The time over which instances spread their renewed registration: 390 make 195 calls a second.
 SPREAD_MS = 2_000
@@ -48,18 +48,18 @@
         self.announced_at: float | None = None
         self.wake = Event()
         fleet.eras.listeners.append(self.announce_again)
-        fleet.on_reached = self.ask
-        fleet.subscribe(MemberList, self.take)
+        fleet.on_link_opened = self.request_members
+        fleet.subscribe(MemberList, self.receive)
 
     def run(self) -> None:
         """Register this instance, and read the list periodically, forever."""
         while True:
-            pause_ms = READ_MS
+            pause_ms = READ_INTERVAL_MS
             try:
                 if self.announced_at is None:
                     self.instances.announce(self.membership.me)
                     self.announced_at = self.clock.now()
-                if self.fleet.readers.reading or not self.membership.listed:
+                if self.fleet.reader_election.reading or not self.membership.listed:
                     self.read()
             except (StoreUnavailableError, StoreAmbiguousError) as error:
                 announced = self.announced_at is not None
@@ -95,24 +95,24 @@
             StoreUnavailableError: The store does not answer.
         """
         before = {one.incarnation for one in self.membership.known.values()}
-        self.membership.observe(self.instances.instances())
+        self.membership.apply_list(self.instances.instances())
         new = [one for one in self.membership.addressed() if one.incarnation not in before]
-        if self.fleet.readers.reading:
-            self.fleet.tell_members(new, self.fleet.near_links())
+        if self.fleet.reader_election.reading:
+            self.fleet.send_members(new, self.fleet.reader_group_links())
         self.fleet.retarget.set()
         log_message("instances-read", known=len(self.membership.known))
 
-    def ask(self, link: Link) -> None:
+    def request_members(self, link: Link) -> None:
         """Request the known instances from a peer if the platform's list could not be read.
 
         They are not sent to every peer unasked, since that takes 19 KB and 4 ms a link with 195
         instances.
         """
         if not self.membership.listed:
-            self.fleet.send_later(link, Want(-1, None, members=True))
+            self.fleet.send_later(link, UpdateRequest(-1, None, members=True))
 
-    def take(self, message: MemberList, link: Link) -> None:
+    def receive(self, message: MemberList, link: Link) -> None:
         """Add the instances that a peer knows."""
         for instance in message.instances:
-            self.membership.mention(instance)
+            self.membership.add_reported(instance)
         self.fleet.retarget.set()
--- a/packages/core/src/mountladder/forwarding/memorysource.py
+++ b/packages/core/src/mountladder/forwarding/memorysource.py
@@ -36,7 +36,7 @@
         self.era = 0
         self.version = 0
         self.oldest = 0
-        self.copied: tuple[dict[str, SourceRow], int] = ({}, 0)
+        self.saved_copy: tuple[dict[str, SourceRow], int] = ({}, 0)
         self.down = False
         self.silent = False
         self.changed = Event()
@@ -48,11 +48,11 @@
 
     def copy(self) -> None:
         """Save a copy, to be restored later."""
-        self.copied = (dict(self.rows), self.version)
+        self.saved_copy = (dict(self.rows), self.version)
 
-    def come_back_older(self) -> None:
+    def restore_copy(self) -> None:
         """Restore the copy: later writes are lost, and their versions are assigned again."""
-        rows, self.version = self.copied
+        rows, self.version = self.saved_copy
         self.era += 1
         self.oldest = min(self.oldest, self.version)
         for key, row in rows.items():
@@ -69,7 +69,7 @@
         self.changed.set()
         self.changed = Event()
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history up to now."""
         self.oldest = self.version
 
--- a/packages/core/src/mountladder/forwarding/messageparts.py
+++ b/packages/core/src/mountladder/forwarding/messageparts.py
@@ -17,13 +17,13 @@
 
 # The most entries in one message. At about 120 bytes each they are as large as a part of a
 # catalogue.
-MOST_ENTRIES = 64
+MAX_ENTRIES = 64
 
 
-def parts_of(entries: Sequence[Entry]) -> list[tuple[Entry, ...]]:
+def chunked(entries: Sequence[Entry]) -> list[tuple[Entry, ...]]:
     """Return entries in tuples that each fit into one message."""
-    starts = range(0, len(entries), MOST_ENTRIES)
-    return [tuple(entries[start : start + MOST_ENTRIES]) for start in starts]
+    starts = range(0, len(entries), MAX_ENTRIES)
+    return [tuple(entries[start : start + MAX_ENTRIES]) for start in starts]
 
 
 def directory_copies(directory: Directory, since: Position) -> list[DirectoryCopy]:
@@ -32,7 +32,7 @@
     Only the last message carries the position up to which the list is complete, since a receiver
     that has only the others lacks entries.
     """
-    lapse_ms = directory.lapse_ms()
-    parts = parts_of(directory.since(since)) or [()]
-    first = [DirectoryCopy(BEGINNING, part, lapse_ms) for part in parts[:-1]]
-    return [*first, DirectoryCopy(directory.position, parts[-1], lapse_ms)]
+    reappear_ms = directory.reappear_ms()
+    parts = chunked(directory.changed_since(since)) or [()]
+    first = [DirectoryCopy(BEGINNING, part, reappear_ms) for part in parts[:-1]]
+    return [*first, DirectoryCopy(directory.position, parts[-1], reappear_ms)]
--- a/packages/core/src/mountladder/forwarding/storeintake.py
+++ b/packages/core/src/mountladder/forwarding/pageapplier.py
@@ -1,4 +1,4 @@
-# storeintake.py -- Decodes pages of the store's tables and applies them to the local state
+# pageapplier.py -- Decodes pages of the store's tables and applies them to the local state
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -21,7 +21,7 @@
 STORE = "store"
 
 
-class StoreIntake:
+class PageApplier:
     """Decodes pages of the store's tables and applies them to the catalogue and the directory.
 
     Args:
@@ -46,32 +46,32 @@
         self.eras = eras
         self.clock = clock
 
-    def take_catalogue(self, page: SourcePage, whole: bool) -> None:
+    def apply_catalogue(self, page: SourcePage, whole: bool) -> None:
         """Apply a page of the operator's table, which holds the catalogue and the drains.
 
         Drains are applied first, so that no work is routed by the new catalogue before they are
         known.
         """
         self.eras.see(page.position.era, STORE)
-        self.take_drains(page, whole)
+        self.apply_drains(page, whole)
         for row in page.rows:
             if row.value is not None and self.tables.is_catalogue(row.key):
                 self.follower.adopt(row.value, STORE)
         self.follower.confirm(self.clock.now())
 
-    def take_drains(self, page: SourcePage, whole: bool) -> None:
+    def apply_drains(self, page: SourcePage, whole: bool) -> None:
         """Apply the drained data centres of a page of the operator's table."""
-        told = []
+        drains = []
         for row in page.rows:
             datacentre = self.tables.drained_datacentre(row.key)
             if datacentre:
-                told.append(DatacentreDrain(datacentre, row.position, row.value is not None))
+                drains.append(DatacentreDrain(datacentre, row.position, row.value is not None))
         if whole:
-            self.directory.drains.replace(told, page.position, STORE)
+            self.directory.drains.replace(drains, page.position, STORE)
         else:
-            self.directory.drains.apply(told, STORE)
+            self.directory.drains.apply(drains, STORE)
 
-    def take_servers(self, page: SourcePage, whole: bool) -> None:
+    def apply_servers(self, page: SourcePage, whole: bool) -> None:
         """Apply a page of the table of backend servers."""
         self.eras.see(page.position.era, STORE)
         records = []
--- a/packages/core/src/mountladder/forwarding/reach.py
+++ b/packages/core/src/mountladder/forwarding/partitiondetector.py
@@ -1,4 +1,4 @@
-# reach.py -- Detects data centres that cannot be reached at present
+# partitiondetector.py -- Detects data centres that cannot be reached at present
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -17,10 +17,10 @@
 # connect timeout, 300 ms.
 SILENCE_MS = 750.0
 # How long a report from another instance is valid: two of its heartbeats and some delay.
-BELIEVED_MS = 1_200.0
+REPORT_VALID_MS = 1_200.0
 
 
-class Reach:
+class PartitionDetector:
     """Detects which data centres are unreachable from this one, so that no work is sent there.
 
     Instances with links to coordinators of other data centres decide for themselves. The rest of
@@ -32,24 +32,24 @@
 
     Attributes:
         silent: The data centres that this instance itself found unreachable.
-        words: The last report of each other reporting instance, with its time of arrival.
+        reports: The last report of each other reporting instance, with its time of arrival.
     """
 
     def __init__(self, membership: Membership) -> None:
         self.membership = membership
         self.silent: frozenset[str] = frozenset()
-        self.judged_at = float("-inf")
-        self.words: dict[str, tuple[frozenset[str], float]] = {}
+        self.checked_at = float("-inf")
+        self.reports: dict[str, tuple[frozenset[str], float]] = {}
 
-    def judge(self, datacentres: Iterable[str]) -> bool:
+    def check(self, datacentres: Iterable[str]) -> bool:
         """Recheck which of some data centres are unreachable; return whether that has changed.
 
         If the last check is long ago, this process was paused itself and has not read yet what
         others sent meanwhile, so nothing is changed.
         """
         now = self.membership.clock.now()
-        paused = now - self.judged_at > SILENCE_MS / 2
-        self.judged_at = now
+        paused = now - self.checked_at > SILENCE_MS / 2
+        self.checked_at = now
         if paused:
             return False
         silent = frozenset(one for one in datacentres if self.silence_ms(one) > SILENCE_MS)
@@ -66,13 +66,13 @@
         heard = [one for one in silences if one != float("inf")]
         return min(heard, default=0.0)
 
-    def believe(self, name: str, datacentres: Iterable[str]) -> None:
+    def record_report(self, name: str, datacentres: Iterable[str]) -> None:
         """Record which data centres another instance of this data centre found unreachable."""
-        self.words[name] = (frozenset(datacentres), self.membership.clock.now())
+        self.reports[name] = (frozenset(datacentres), self.membership.clock.now())
 
-    def cut_off(self) -> frozenset[str]:
+    def unreachable(self) -> frozenset[str]:
         """Return the data centres that count as unreachable from this one."""
-        oldest = self.membership.clock.now() - BELIEVED_MS
-        self.words = {name: word for name, word in self.words.items() if word[1] > oldest}
-        agreed = [cut for cut, _ in self.words.values()]
+        oldest = self.membership.clock.now() - REPORT_VALID_MS
+        self.reports = {name: report for name, report in self.reports.items() if report[1] > oldest}
+        agreed = [datacentres for datacentres, _ in self.reports.values()]
         return self.silent.union(frozenset.intersection(*agreed) if agreed else ())
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -52,7 +52,7 @@
     def place(self, service: str, prompt: Prompt, wish: ServerWish) -> PlacementReply:
         """Return where a prompt is to go; its number stands for it until it has ended."""
         order = self.order(service, prompt, wish)
-        link = self.fleet.home(prompts_topic(service))
+        link = self.fleet.coordinator(prompts_topic(service))
         reply = self.ask(link, order) if link is not None else None
         if reply is None:
             return self.decide(order)
--- a/packages/core/src/mountladder/forwarding/ranking.py
+++ b/packages/core/src/mountladder/forwarding/ranking.py
@@ -15,10 +15,10 @@
 SMALL_FLEET = 12
 # Instances with less than this fraction of the largest number of cores rank behind all others: a
 # small one that coordinated a whole fleet's work would delay all of it.
-AMPLE_CORES = 0.6
+AMPLE_CORES_FRACTION = 0.6
 # Instances that start this close together count as equally old: those of a fleet that is started at
 # once, or restarted after all were killed, start within a second or two.
-TOGETHER_MS = 2_000
+SAME_AGE_MS = 2_000
 # The topic that instances are ranked by for polling the store.
 STORE_TOPIC = "the store"
 
@@ -54,12 +54,12 @@
         if known is not None and known[0] == stamp:
             return known[1]
         staying = [one for one in self.staying() if datacentre in {"", one.datacentre}]
-        least = AMPLE_CORES * max((one.cores for one in staying), default=0.0)
-        ample = [one for one in staying if one.cores >= least]
+        min_cores = AMPLE_CORES_FRACTION * max((one.cores for one in staying), default=0.0)
+        ample = [one for one in staying if one.cores >= min_cores]
         older = set(map(id, _older_half(ample)))
         ranked = sorted(
             staying,
-            key=lambda one: (one.cores >= least, id(one) in older, _weight(topic, one)),
+            key=lambda one: (one.cores >= min_cores, id(one) in older, _weight(topic, one)),
             reverse=True,
         )
         self.ranks[topic, datacentre] = (stamp, ranked)
@@ -75,7 +75,7 @@
         ]
         return staying if self.leaving else [*staying, members.me]
 
-    def near(self) -> list[Instance]:
+    def reader_group(self) -> list[Instance]:
         """Return the instances that share one reader of the store with this one, by rank.
 
         This reader group is the whole of a small fleet, else this data centre. Silent instances are
@@ -85,9 +85,11 @@
         whole = len(members.known) <= SMALL_FLEET
         here = members.me.datacentre
         ranked = self.ranked(STORE_TOPIC)
-        near = ranked if whole else [one for one in ranked if one.datacentre == here]
+        reader_group = ranked if whole else [one for one in ranked if one.datacentre == here]
         limit_ms = MISSED_HEARTBEATS * members.interval_ms
-        return [one for one in near if one is members.me or members.silence_ms(one) <= limit_ms]
+        return [
+            one for one in reader_group if one is members.me or members.silence_ms(one) <= limit_ms
+        ]
 
 
 def prompts_topic(service: str) -> str:
@@ -97,7 +99,7 @@
 
 def _older_half(instances: list[Instance]) -> list[Instance]:
     starts = sorted(one.since for one in instances)
-    latest = starts[(len(starts) - 1) // 2] + TOGETHER_MS if starts else 0
+    latest = starts[(len(starts) - 1) // 2] + SAME_AGE_MS if starts else 0
     return [one for one in instances if one.since <= latest]
 
 
--- a/packages/core/src/mountladder/forwarding/releaser.py
+++ b/packages/core/src/mountladder/forwarding/releaser.py
@@ -108,7 +108,7 @@
             by_address.setdefault(handle.partition("/")[0], []).append(handle)
         for address, freed in by_address.items():
             # Results do not outlive a server that is not listed any more.
-            server = self.directory.listed_at.get(address)
+            server = self.directory.by_address.get(address)
             if server is not None:
                 self.upstream.free(server, freed, self.heard)
         self.freed(handles)
--- a/packages/core/src/mountladder/forwarding/retrybudgets.py
+++ b/packages/core/src/mountladder/forwarding/retrybudgets.py
@@ -43,7 +43,7 @@
 
     def reserve(self) -> float:
         """Return this instance's part of the common reserve of retries."""
-        return self.settings().retry_reserve / self.membership.sharing()
+        return self.settings().retry_reserve / self.membership.budget_sharers()
 
     def renew(self) -> None:
         """Make all budgets anew, after the settings have changed."""
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -81,7 +81,7 @@
         Raises:
             RefusalError: There is none, none is in use, or none can be reached or takes it in time.
         """
-        if self.directory.is_cut_off(service):
+        if self.directory.is_unreachable(service):
             # A connection that cannot come about costs the caller 300 ms for each server.
             raise self.none_available(service)
         if request.prompt is not None:
@@ -147,7 +147,7 @@
     def is_due(self, service: str, free: tuple[BackendServer, ...]) -> bool:
         """Tell whether servers with a limit are to be tried beside those that are free of it."""
         now = self.router.clock.now()
-        every_ms = TRY_MS * self.placer.fleet.membership.sharing()
+        every_ms = TRY_MS * self.placer.fleet.membership.budget_sharers()
         due = now - self.tried.get(service, -every_ms) >= every_ms
         if not due and min(self.router.state(one).crowding(now) for one in free) <= ROOMY:
             return False
--- a/packages/core/src/mountladder/forwarding/serverrecord.py
+++ b/packages/core/src/mountladder/forwarding/serverrecord.py
@@ -46,9 +46,9 @@
         Such an entry has a newer position than the known one, and yet it may list a server as ready
         that has announced since that it is leaving, or one that is gone.
         """
-        told, before = (self.born, self.sequence), (known.born, known.sequence)
+        own, before = (self.born, self.sequence), (known.born, known.sequence)
         newer_era = self.position.era > known.position.era
-        return newer_era and self.server is not None and told <= before
+        return newer_era and self.server is not None and own <= before
 
 
 def listed_server(
--- a/packages/core/src/mountladder/forwarding/sourcefollower.py
+++ b/packages/core/src/mountladder/forwarding/sourcefollower.py
@@ -25,9 +25,9 @@
 # is slow, and never while it is unreachable.
 ANSWER_MS = 600.0
 # How often an instance that does not poll the store checks whether it has to start.
-LOOK_MS = 50.0
-FIRST_PAUSE_MS = 100.0
-LONGEST_PAUSE_MS = 800.0
+CHECK_MS = 50.0
+MIN_PAUSE_MS = 100.0
+MAX_PAUSE_MS = 800.0
 
 
 class SourceFollower:
@@ -38,18 +38,18 @@
         source: The table.
         clock: The clock.
         metrics: Where failed calls are counted.
-        take: Called with each page, and whether it holds the whole table.
+        on_page: Called with each page, and whether it holds the whole table.
         wait_ms: How long one call waits for a change.
         is_due: Returns whether this instance is to poll the table, once it has read it in full.
         idle_ms: Returns for how long that is certainly not so.
 
     Attributes:
         position: The position up to which the table was read, or None before the first reading.
-        nudge: Set when `is_due` may have changed.
+        wake: Set when `is_due` may have changed.
         connected: Whether the last call was answered.
         answered_at: When the store answered last.
-        on_lost: Called when the store stops answering.
-        on_regained: Called when it answers again.
+        on_unreachable: Called when the store stops answering.
+        on_reachable: Called when it answers again.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         source: Source,
         clock: Clock,
         metrics: Metrics,
-        take: Callable[[SourcePage, bool], None],
+        on_page: Callable[[SourcePage, bool], None],
         wait_ms: float = WAIT_MS,
         is_due: Callable[[], bool] = lambda: True,
         idle_ms: Callable[[], float] = lambda: 0.0,
@@ -67,18 +67,18 @@
         self.source = source
         self.clock = clock
         self.metrics = metrics
-        self.take = take
+        self.on_page = on_page
         self.wait_ms = wait_ms
         self.is_due = is_due
         self.idle_ms = idle_ms
-        self.nudge = Event()
+        self.wake = Event()
         self.position: Position | None = None
         self.connected = False
         self.answered_at = float("-inf")
-        self.lost_at: float | None = None
-        self.pause_ms = FIRST_PAUSE_MS
-        self.on_lost: Callable[[], None] = lambda: None
-        self.on_regained: Callable[[], None] = lambda: None
+        self.unreachable_since: float | None = None
+        self.pause_ms = MIN_PAUSE_MS
+        self.on_unreachable: Callable[[], None] = lambda: None
+        self.on_reachable: Callable[[], None] = lambda: None
 
     def run(self) -> None:
         """Follow the table forever, whenever this instance is to poll it."""
@@ -86,11 +86,11 @@
             if self.position is None or self.is_due():
                 self.step()
             else:
-                self.clock.wait(self.nudge, max(LOOK_MS, self.idle_ms()))
-                self.nudge.clear()
+                self.clock.wait(self.wake, max(CHECK_MS, self.idle_ms()))
+                self.wake.clear()
 
     @property
-    def fed(self) -> bool:
+    def is_answered(self) -> bool:
         """Return whether the store has answered within the time that a call may take."""
         age_ms = self.clock.now() - self.answered_at
         return self.connected and age_ms < self.wait_ms + ANSWER_MS
@@ -100,44 +100,49 @@
         try:
             whole = self.position is None
             # An instance that has just taken over must know soon whether the store answers.
-            wait_ms = self.wait_ms if self.fed else 1.0
+            wait_ms = self.wait_ms if self.is_answered else 1.0
             page = self.source.read() if whole else self.source.changes(self.position, wait_ms)
         except HistoryLostError as error:
             log_message("history-lost", table=self.name, reason=error.detail)
             self.position = None
             return
         except StoreUnavailableError as error:
-            self.lost(error)
+            self.record_failure(error)
             return
-        self.regained()
+        self.record_answer()
         self.position = page.position if whole else max(self.position, page.position)
-        self.take(page, whole)
+        self.on_page(page, whole)
 
-    def lost(self, error: StoreUnavailableError) -> None:
+    def record_failure(self, error: StoreUnavailableError) -> None:
         """Record an unanswered call, and pause before the next one."""
         self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
-        if self.connected or self.lost_at is None:
-            self.lost_at = self.clock.now()
+        if self.connected or self.unreachable_since is None:
+            self.unreachable_since = self.clock.now()
             log_message(
-                "store-unreachable", table=self.name, position=self.shown(), reason=error.detail
+                "store-unreachable",
+                table=self.name,
+                position=self.position_text(),
+                reason=error.detail,
             )
             self.connected = False
-            self.on_lost()
+            self.on_unreachable()
         self.clock.sleep(self.pause_ms)
-        self.pause_ms = min(LONGEST_PAUSE_MS, 2 * self.pause_ms)
+        self.pause_ms = min(MAX_PAUSE_MS, 2 * self.pause_ms)
 
-    def regained(self) -> None:
+    def record_answer(self) -> None:
         """Record an answered call."""
-        self.pause_ms = FIRST_PAUSE_MS
+        self.pause_ms = MIN_PAUSE_MS
         self.answered_at = self.clock.now()
         if self.connected:
             return
         self.connected = True
-        if self.lost_at is not None:
-            away_ms = round(self.clock.now() - self.lost_at)
-            log_message("store-reachable", table=self.name, position=self.shown(), away_ms=away_ms)
-            self.on_regained()
+        if self.unreachable_since is not None:
+            away_ms = round(self.clock.now() - self.unreachable_since)
+            log_message(
+                "store-reachable", table=self.name, position=self.position_text(), away_ms=away_ms
+            )
+            self.on_reachable()
 
-    def shown(self) -> str:
+    def position_text(self) -> str:
         """Return the position as era/version for the log, or an empty string."""
         return f"{self.position.era}/{self.position.version}" if self.position else ""
--- a/packages/core/src/mountladder/forwarding/stagebacklogs.py
+++ b/packages/core/src/mountladder/forwarding/stagebacklogs.py
@@ -45,7 +45,7 @@
         """Return how long pieces wait that meet on this instance."""
         # Other data centres lend to this one also where it has had no such pieces itself.
         met = self.batchers.keys() | self.fleet.division.divided
-        services = [one for one in sorted(met) if self.fleet.home(one) is None]
+        services = [one for one in sorted(met) if self.fleet.coordinator(one) is None]
         return tuple(self.own(service) for service in services)
 
     def own(self, service: str) -> Backlog:
@@ -53,7 +53,7 @@
         own = self.batcher(service).backlog()
         if not self.fleet.division.is_divided(service):
             return own
-        elsewhere = self.lending.least_waits(service, self.fleet.places(service))
+        elsewhere = self.lending.least_waits(service, self.fleet.coordinator_links(service))
         waits = tuple(min(pair) for pair in zip(own.waits_ms, elsewhere, strict=True))
         return Backlog(service, waits, own.waits_ms)
 
@@ -70,7 +70,7 @@
         What another instance told is taken to have been worked off since.
         """
         here = place(urgency, gives_way)
-        if self.fleet.home(service) is None:
+        if self.fleet.coordinator(service) is None:
             return self.own(service).waits_ms[here]
         backlog, told = self.told.get(service, (None, 0.0))
         if backlog is None:
--- a/packages/core/src/mountladder/forwarding/stagedispatch.py
+++ b/packages/core/src/mountladder/forwarding/stagedispatch.py
@@ -92,7 +92,7 @@
 
     def place(self, submission: Submission) -> None:
         """Hand a stage to the instance where its pieces meet, or take it on here."""
-        link = self.fleet.home(submission.job.service)
+        link = self.fleet.coordinator(submission.job.service)
         if link is not None:
             self.hand_over(submission, link, lent=False)
         else:
@@ -108,7 +108,7 @@
     def place_here(self, submission: Submission) -> None:
         """Take on a stage whose pieces meet here, or lend it to another data centre."""
         job = submission.job
-        places = self.fleet.places(job.service) if self.is_divided(job.service) else {}
+        places = self.fleet.coordinator_links(job.service) if self.is_divided(job.service) else {}
         there = self.lending_target(job, places)
         if there:
             self.batcher(job.service).demand.came(job)
@@ -197,7 +197,7 @@
 
     def hand(self, message: StageNotice | StageRelease, take: Callable[[], None]) -> None:
         """Send a message to where its service's pieces meet, or take it in where that is here."""
-        link = self.fleet.home(message.service)
+        link = self.fleet.coordinator(message.service)
         if link is None:
             take()
         else:
--- a/packages/core/src/mountladder/forwarding/want.py
+++ b/packages/core/src/mountladder/forwarding/updaterequest.py
@@ -1,4 +1,4 @@
-# want.py -- Message that requests newer state from a peer
+# updaterequest.py -- Message that requests newer state from a peer
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class UpdateRequest:
     """Message that requests newer state from a peer.
 
     Attributes:
--- a/packages/core/src/mountladder/membership/ask.py
+++ b/packages/core/src/mountladder/membership/changesrequest.py
@@ -1,4 +1,4 @@
-# ask.py -- Message that requests newer configuration changes from a peer
+# changesrequest.py -- Message that requests newer configuration changes from a peer
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ChangesRequest:
     """Requests the configuration changes after a revision from a peer.
 
     Attributes:
--- a/packages/core/src/mountladder/membership/link.py
+++ b/packages/core/src/mountladder/membership/link.py
@@ -17,12 +17,12 @@
 
     Attributes:
         peer: The instance at the other end, once the handshake is done.
-        heard_at: When a message last arrived over it, in the clock's milliseconds.
+        received_at: When a message last arrived over it, in the clock's milliseconds.
     """
 
     def __init__(self) -> None:
         self.peer: Instance | None = None
-        self.heard_at = float("-inf")
+        self.received_at = float("-inf")
 
     @abstractmethod
     def handshake(self) -> Instance:
--- a/packages/core/src/mountladder/membership/linkkeeper.py
+++ b/packages/core/src/mountladder/membership/linkmanager.py
@@ -1,4 +1,4 @@
-# linkkeeper.py -- Keeps links to the other instances open and dispatches their messages
+# linkmanager.py -- Keeps links to the other instances open and dispatches their messages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -24,13 +24,13 @@
 from mountladder.metrics.metric import Metric
 from mountladder.metrics.metrics import Metrics
 
-REDIAL_MS = 250.0
-LONGEST_REDIAL_MS = 2_000.0
-TARGETS_MS = 500.0
+MIN_REDIAL_MS = 250.0
+MAX_REDIAL_MS = 2_000.0
+TARGETS_POLL_MS = 500.0
 Kind = TypeVar("Kind")
 
 
-class LinkKeeper(ABC):
+class LinkManager(ABC):
     """Keeps a link to each target instance open, serves links from peers, dispatches messages.
 
     Heartbeats are sent over the links that this instance has opened; peers reply on the same link.
@@ -45,15 +45,16 @@
     Attributes:
         links: The links that this instance has opened, by the peer's address.
         leaving: Whether this instance is shutting down.
-        answered: Whether peers reply to heartbeats on the same link, so that a silent link is
-            broken.
-        on_reached: Called with each link that this instance has opened.
+        expects_replies: Whether peers reply to heartbeats on the same link, so that a silent link
+            is broken.
+        on_link_opened: Called with each link that this instance has opened.
         on_link_lost: Called with the address of a peer whose link broke or fell silent.
         subscribers: The handlers of message types that `handle` does not handle itself.
-        greeters: Called with each link that a peer has opened, to send it the current state.
+        accept_listeners: Called with each link that a peer has opened, to send it the current
+            state.
     """
 
-    answered = False
+    expects_replies = False
 
     def __init__(
         self,
@@ -70,33 +71,33 @@
         self.seeds = tuple(seed for seed in seeds if seed != membership.me.peer)
         self.links: dict[str, Link] = {}
         self.dialers: dict[str, gevent.Greenlet] = {}
-        self.knocks: dict[str, Event] = {}
+        self.redial_events: dict[str, Event] = {}
         self.retarget = Event()
         self.leaving = False
-        self.on_reached: Callable[[Link], None] = lambda link: None
+        self.on_link_opened: Callable[[Link], None] = lambda link: None
         self.on_link_lost: Callable[[str], None] = lambda address: None
         self.subscribers: dict[type, Callable[[Any, Link], None]] = {}
-        self.greeters: list[Callable[[Link], None]] = []
+        self.accept_listeners: list[Callable[[Link], None]] = []
         self.bytes = 0
         self.messages = 0
 
     def run(self) -> None:
         """Keep one dialling greenlet for each target, forever."""
         while True:
-            self.follow_targets()
+            self.update_dialers()
             self.metrics.gauge(Metric.PEERS, len(self.membership.live()) - 1)
-            self.clock.wait(self.retarget, TARGETS_MS)
+            self.clock.wait(self.retarget, TARGETS_POLL_MS)
             self.retarget.clear()
 
-    def knock(self, address: str) -> None:
+    def redial_now(self, address: str) -> None:
         """Dial a peer at once that has just connected to this instance."""
-        waiting = self.knocks.get(address)
+        waiting = self.redial_events.get(address)
         if waiting is not None:
             waiting.set()
         else:
             self.retarget.set()
 
-    def follow_targets(self) -> None:
+    def update_dialers(self) -> None:
         """Start and stop dialling greenlets as the targets change."""
         targets = [one.peer for one in self.targets() if one.peer]
         wanted = set(targets) | (set() if targets else set(self.seeds))
@@ -115,21 +116,21 @@
 
     def dial(self, address: str) -> None:
         """Keep a link to an address open, forever; back off while it cannot be reached."""
-        pause_ms = REDIAL_MS
+        pause_ms = MIN_REDIAL_MS
         while True:
             opened = self.clock.now()
             try:
-                self.talk(address)
+                self.run_link(address)
             except PeerError as error:
                 self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
-            if self.clock.now() - opened > LONGEST_REDIAL_MS:
-                pause_ms = REDIAL_MS
-            knocked = self.knocks[address] = Event()
-            if self.clock.wait(knocked, pause_ms):
-                pause_ms = REDIAL_MS
-            pause_ms = min(LONGEST_REDIAL_MS, 2 * pause_ms)
-
-    def talk(self, address: str) -> None:
+            if self.clock.now() - opened > MAX_REDIAL_MS:
+                pause_ms = MIN_REDIAL_MS
+            redial = self.redial_events[address] = Event()
+            if self.clock.wait(redial, pause_ms):
+                pause_ms = MIN_REDIAL_MS
+            pause_ms = min(MAX_REDIAL_MS, 2 * pause_ms)
+
+    def run_link(self, address: str) -> None:
         """Open a link, and send heartbeats over it until it breaks.
 
         Raises:
@@ -140,17 +141,17 @@
         broken = Event()
         try:
             peer = link.handshake()
-            self.membership.hear(peer)
-            link.heard_at = self.clock.now()
+            self.membership.mark_alive(peer)
+            link.received_at = self.clock.now()
             self.links[address] = link
             log_message("peer-reached", peer=peer.name, address=address)
-            self.on_reached(link)
+            self.on_link_opened(link)
             reader = gevent.spawn(self.read_all, link)
             reader.link(lambda _: broken.set())
             while not broken.is_set():
                 self.send(link, self.heartbeat())
                 self.clock.wait(broken, self.interval_ms(address))
-                self.check_heard(link)
+                self.check_silence(link)
         finally:
             if self.links.pop(address, None) is not None:
                 log_message("peer-lost", address=address)
@@ -165,24 +166,24 @@
         A link may stay silent for good without a reset, even if its peer sends over other links.
         """
         limit_ms = MISSED_HEARTBEATS * self.interval_ms(link.peer.peer)
-        return self.clock.now() - link.heard_at <= limit_ms
+        return self.clock.now() - link.received_at <= limit_ms
 
-    def check_heard(self, link: Link) -> None:
+    def check_silence(self, link: Link) -> None:
         """Fail if a link has been silent for too long.
 
         Raises:
             PeerError: Nothing arrived over it within the last heartbeat intervals.
         """
-        if self.answered and not self.is_answering(link):
+        if self.expects_replies and not self.is_answering(link):
             raise PeerError(f"the link to {link.peer.name} is silent")
 
     def serve(self, link: Link) -> None:
         """Serve a link that a peer opened, until it breaks."""
         try:
             peer = link.handshake()
-            self.membership.hear(peer)
-            self.knock(peer.peer)
-            self.greet(link)
+            self.membership.mark_alive(peer)
+            self.redial_now(peer.peer)
+            self.send_first_messages(link)
             self.read_all(link)
         except PeerError as error:
             self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
@@ -194,7 +195,7 @@
         try:
             while True:
                 message = link.receive()
-                link.heard_at = self.clock.now()
+                link.received_at = self.clock.now()
                 self.handle(message, link)
         except MountladderError as error:
             self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
@@ -214,7 +215,7 @@
         """Register the handler of a message type; it gets the message and its link."""
         self.subscribers[kind] = take
 
-    def hand_over(self, message: Message, link: Link) -> None:
+    def dispatch(self, message: Message, link: Link) -> None:
         """Pass a message to the subscriber of its type.
 
         Raises:
@@ -225,13 +226,13 @@
             raise PeerError(f"messages like {message!r} have no handler")
         take(message, link)
 
-    def greet(self, link: Link) -> None:
+    def send_first_messages(self, link: Link) -> None:
         """Send the first messages to a peer that has just connected."""
-        self.send(link, self.greeting())
-        for greeter in self.greeters:
-            greeter(link)
+        self.send(link, self.first_message())
+        for listener in self.accept_listeners:
+            listener(link)
 
-    def greeting(self) -> Message:
+    def first_message(self) -> Message:
         """Return the first message to a peer that has just connected."""
         return self.heartbeat()
 
@@ -247,7 +248,7 @@
         """Send a message from a new greenlet, so that the caller does not block."""
         gevent.spawn(self.try_send, link, message)
 
-    def links_for_news(self, source: str) -> list[Link]:
+    def broadcast_links(self, source: str) -> list[Link]:
         """Return the links to broadcast or forward new entries over.
 
         Args:
@@ -257,11 +258,11 @@
         sender = self.membership.known.get(source)
         here = self.membership.me.datacentre
         # A peer of this data centre has sent them to all others of it itself.
-        told_near = sender is not None and sender.datacentre == here
+        sent_locally = sender is not None and sender.datacentre == here
         return [
             link
             for link in self.links.values()
-            if link.peer.name != source and not (told_near and link.peer.datacentre == here)
+            if link.peer.name != source and not (sent_locally and link.peer.datacentre == here)
         ]
 
     def try_send(self, link: Link, message: Message) -> None:
@@ -271,7 +272,7 @@
         except PeerError as error:
             self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
 
-    def tell_all(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to every peer at once."""
         for link in list(self.links.values()):
             gevent.spawn(self.try_send, link, self.heartbeat())
--- a/packages/core/src/mountladder/membership/listener.py
+++ b/packages/core/src/mountladder/membership/listener.py
@@ -11,19 +11,19 @@
 BACKLOG = 1_024
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     """Split an address into its IP number and port."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
-def listener(address: str) -> socket.socket:
+def listening_socket(address: str) -> socket.socket:
     """Return a socket that listens on an IP number and port.
 
     TCP_NODELAY is set so that accepted connections send small segments at once: tokens of a stream
     must not wait for the caller's delayed acknowledgements.
     """
-    host, port = split(address)
+    host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listening = socket.socket(family, socket.SOCK_STREAM)
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/packages/core/src/mountladder/membership/membership.py
+++ b/packages/core/src/mountladder/membership/membership.py
@@ -14,16 +14,19 @@
 from mountladder.clocks.clock import Clock
 from mountladder.membership.instance import Instance
 
-INTERVAL_MS = 1_000.0
+MIN_INTERVAL_MS = 1_000.0
 # Up to this many neighbours the shortest heartbeat interval is used. Each further one lengthens it,
 # so that with 38 neighbours an instance sends six heartbeats a second, and gets as many replies.
-CLOSE_PEERS = 5
-PER_PEER_MS = 200.0
+PEERS_AT_MIN_INTERVAL = 5
+INTERVAL_PER_PEER_MS = 200.0
+# An instance or link that is silent for this many heartbeat intervals counts as failed.
 MISSED_HEARTBEATS = 3
-OUTSIDE_PEERS = 2
-GATHERED_FROM = 6
+# How many instances of other data centres each instance keeps links to.
+REMOTE_PEERS = 2
+# In a data centre with at least this many instances, one of them commits the claims of all.
+GATHERING_MIN_INSTANCES = 6
 # How many instances are assumed to share a budget while their number is unknown.
-UNKNOWN_INSTANCES = 16
+ASSUMED_INSTANCES = 16
 
 
 class Membership:
@@ -38,17 +41,17 @@
         changes: Counts the changes, so that derived values can be cached.
     """
 
-    def __init__(self, me: Instance, clock: Clock, interval_ms: float = INTERVAL_MS) -> None:
+    def __init__(self, me: Instance, clock: Clock, interval_ms: float = MIN_INTERVAL_MS) -> None:
         self.me = me
         self.clock = clock
-        self.least_interval_ms = interval_ms
+        self.min_interval_ms = interval_ms
         self.known: dict[str, Instance] = {}
         self.listed: frozenset[str] = frozenset()
-        self.heard_at: dict[str, float] = {}
+        self.last_seen: dict[str, float] = {}
         self.leaving: set[str] = set()
         self.changes = 0
-        self.near_names: tuple[int, list[Instance]] = (-1, [])
-        self.drawn: tuple[int, list[Instance]] = (-1, [])
+        self.cached_neighbours: tuple[int, list[Instance]] = (-1, [])
+        self.cached_remote_peers: tuple[int, list[Instance]] = (-1, [])
         self.forgot_at = clock.now()
 
     @property
@@ -58,32 +61,35 @@
         It grows with the number of peers, which bounds the heartbeats that an instance sends in a
         second.
         """
-        return max(self.least_interval_ms, PER_PEER_MS * (len(self.neighbours()) - CLOSE_PEERS))
+        return max(
+            self.min_interval_ms,
+            INTERVAL_PER_PEER_MS * (len(self.neighbours()) - PEERS_AT_MIN_INTERVAL),
+        )
 
-    def observe(self, instances: Iterable[Instance]) -> None:
+    def apply_list(self, instances: Iterable[Instance]) -> None:
         """Apply the platform's list; it lags, so live instances keep what they sent themselves."""
         listed = {instance.name: instance for instance in instances}
         self.listed = frozenset(instance.incarnation for instance in listed.values())
         for name, instance in listed.items():
-            if name != self.me.name and not self.is_heard(self.known.get(name)):
+            if name != self.me.name and not self.is_responding(self.known.get(name)):
                 self.known[name] = instance
         for name in list(self.known):
-            if name not in listed and not self.is_heard(self.known[name]):
+            if name not in listed and not self.is_responding(self.known[name]):
                 del self.known[name]
         self.changes += 1
 
-    def hear(self, instance: Instance, leaving: bool = False) -> None:
+    def mark_alive(self, instance: Instance, leaving: bool = False) -> None:
         """Record that an instance is alive, from a message that it sent."""
         if self.known.get(instance.name) != instance:
             self.known[instance.name] = instance
             self.changes += 1
-        self.heard_at[instance.incarnation] = self.clock.now()
+        self.last_seen[instance.incarnation] = self.clock.now()
         if leaving and instance.incarnation not in self.leaving:
             self.leaving.add(instance.incarnation)
             self.changes += 1
         self.forget_old()
 
-    def mention(self, instance: Instance) -> None:
+    def add_reported(self, instance: Instance) -> None:
         """Add an instance that a peer knows, unless it is known already."""
         if instance.name != self.me.name and instance.name not in self.known:
             self.known[instance.name] = instance
@@ -92,33 +98,33 @@
     def forget_old(self) -> None:
         """Drop incarnations that have sent nothing for a long time."""
         now = self.clock.now()
-        if now - self.forgot_at < self.least_interval_ms:
+        if now - self.forgot_at < self.min_interval_ms:
             return
         self.forgot_at = now
         horizon = now - 10 * MISSED_HEARTBEATS * self.interval_ms
-        for incarnation, at in list(self.heard_at.items()):
+        for incarnation, at in list(self.last_seen.items()):
             if at < horizon:
-                del self.heard_at[incarnation]
+                del self.last_seen[incarnation]
                 self.leaving.discard(incarnation)
                 self.changes += 1
 
-    def sharing(self) -> int:
+    def budget_sharers(self) -> int:
         """Return how many instances are assumed to share a common budget."""
         known = 1 + len(self.known)
-        return known if self.listed else max(known, UNKNOWN_INSTANCES)
+        return known if self.listed else max(known, ASSUMED_INSTANCES)
 
     def silence_ms(self, instance: Instance) -> float:
         """Return the time since an instance last sent something, in ms; infinite if never."""
-        at = self.heard_at.get(instance.incarnation)
+        at = self.last_seen.get(instance.incarnation)
         return float("inf") if at is None else self.clock.now() - at
 
-    def is_heard(self, instance: Instance | None) -> bool:
+    def is_responding(self, instance: Instance | None) -> bool:
         """Return whether an instance has sent something within the last heartbeat intervals."""
         if instance is None:
             return False
-        at = self.heard_at.get(instance.incarnation)
-        limit = MISSED_HEARTBEATS * self.interval_ms
-        return at is not None and self.clock.now() - at <= limit
+        at = self.last_seen.get(instance.incarnation)
+        limit_ms = MISSED_HEARTBEATS * self.interval_ms
+        return at is not None and self.clock.now() - at <= limit_ms
 
     def addressed(self) -> list[Instance]:
         """Return the other instances whose peer address is known."""
@@ -126,42 +132,42 @@
 
     def neighbours(self) -> list[Instance]:
         """Return the other instances of this data centre, ordered by name."""
-        stamp, mine = self.near_names
+        stamp, found = self.cached_neighbours
         if stamp != self.changes:
-            mine = [one for one in self.known.values() if one.datacentre == self.me.datacentre]
-            mine.sort(key=lambda one: one.name)
-            self.near_names = (self.changes, mine)
-        return list(mine)
+            found = [one for one in self.known.values() if one.datacentre == self.me.datacentre]
+            found.sort(key=lambda one: one.name)
+            self.cached_neighbours = (self.changes, found)
+        return list(found)
 
-    def outside(self) -> list[Instance]:
+    def remote_peers(self) -> list[Instance]:
         """Return the few instances of other data centres that this one keeps links to.
 
         Each instance selects its own by a hash, first one in each data centre, so that together
         they connect every data centre with several others.
         """
-        if self.drawn[0] != self.changes:
-            self.drawn = (self.changes, self.draw_outside())
-        return list(self.drawn[1])
+        if self.cached_remote_peers[0] != self.changes:
+            self.cached_remote_peers = (self.changes, self.select_remote_peers())
+        return list(self.cached_remote_peers[1])
 
-    def draw_outside(self) -> list[Instance]:
+    def select_remote_peers(self) -> list[Instance]:
         """Select instances of other data centres by a hash, first one in each data centre."""
         others = [one for one in self.known.values() if one.datacentre != self.me.datacentre]
-        others.sort(key=lambda one: _distance(self.me, one))
+        others.sort(key=lambda one: _hash(self.me, one))
         firsts = {one.datacentre: one for one in reversed(others)}
-        chosen = sorted(firsts.values(), key=others.index)[:OUTSIDE_PEERS]
+        chosen = sorted(firsts.values(), key=others.index)[:REMOTE_PEERS]
         rest = [one for one in others if one not in chosen]
-        return (chosen + rest)[:OUTSIDE_PEERS]
+        return (chosen + rest)[:REMOTE_PEERS]
 
     def targets(self) -> list[Instance]:
         """Return the instances that this one keeps links to."""
-        return self.neighbours() + self.outside()
+        return self.neighbours() + self.remote_peers()
 
     def live(self) -> list[Instance]:
         """Return the live instances of this data centre that are not leaving, by name."""
         others = [
             one
             for one in self.neighbours()
-            if self.is_heard(one) and one.incarnation not in self.leaving
+            if self.is_responding(one) and one.incarnation not in self.leaving
         ]
         return sorted([*others, self.me], key=lambda one: one.name)
 
@@ -169,16 +175,16 @@
         """Return this instance's index among the live ones of its data centre."""
         return [one.name for one in self.live()].index(self.me.name)
 
-    def writers(self) -> int:
+    def claim_writers(self) -> int:
         """Return how many instances write claims: one of a large data centre, else all."""
         sizes = Counter(one.datacentre for one in [*self.known.values(), self.me])
-        return sum(1 if size >= GATHERED_FROM else size for size in sizes.values())
+        return sum(1 if size >= GATHERING_MIN_INSTANCES else size for size in sizes.values())
 
     def is_alive(self, incarnation: str) -> bool:
         """Return whether an incarnation may still be alive, as far as this instance knows."""
         return (
             incarnation == self.me.incarnation
-            or incarnation in self.heard_at
+            or incarnation in self.last_seen
             or incarnation in self.listed
         )
 
@@ -190,5 +196,5 @@
         return None
 
 
-def _distance(first: Instance, second: Instance) -> int:
+def _hash(first: Instance, second: Instance) -> int:
     return xxhash.xxh64_intdigest(f"{first.name}\0{second.name}".encode())
--- a/packages/core/src/mountladder/membership/memorynetwork.py
+++ b/packages/core/src/mountladder/membership/memorynetwork.py
@@ -27,16 +27,16 @@
         latency_ms: The latency of a message.
 
     Attributes:
-        cut: Pairs of data centres that cannot reach each other.
-        parted: Pairs of instances, by name, that cannot reach each other.
+        cut_datacentres: Pairs of data centres that cannot reach each other.
+        cut_instances: Pairs of instances, by name, that cannot reach each other.
     """
 
     def __init__(self, clock: Clock, latency_ms: float = 0.5) -> None:
         self.clock = clock
         self.latency_ms = latency_ms
         self.served: dict[str, tuple[Instance, Callable[[Link], None]]] = {}
-        self.cut: set[frozenset[str]] = set()
-        self.parted: set[frozenset[str]] = set()
+        self.cut_datacentres: set[frozenset[str]] = set()
+        self.cut_instances: set[frozenset[str]] = set()
         self.links: list[MemoryLink] = []
 
     def connect(self, address: str, me: Instance) -> Link:
@@ -68,6 +68,6 @@
 
     def reachable(self, first: Instance, second: Instance) -> bool:
         """Return whether two instances can reach each other."""
-        if frozenset({first.name, second.name}) in self.parted:
+        if frozenset({first.name, second.name}) in self.cut_instances:
             return False
-        return frozenset({first.datacentre, second.datacentre}) not in self.cut
+        return frozenset({first.datacentre, second.datacentre}) not in self.cut_datacentres
--- a/packages/core/src/mountladder/membership/peers.py
+++ b/packages/core/src/mountladder/membership/peers.py
@@ -17,13 +17,13 @@
 from mountladder.configuration.configuration import Configuration
 from mountladder.configuration.follower import Follower
 from mountladder.errors import BadRowError, PeerError
-from mountladder.membership.ask import Ask
 from mountladder.membership.changes import Changes
+from mountladder.membership.changesrequest import ChangesRequest
 from mountladder.membership.heartbeat import Heartbeat
 from mountladder.membership.hello import Hello
 from mountladder.membership.instance import Instance
 from mountladder.membership.link import Link
-from mountladder.membership.linkkeeper import LinkKeeper
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.membership.membership import Membership
 from mountladder.membership.network import Network
 from mountladder.membership.snapshot import Snapshot
@@ -32,10 +32,10 @@
 from mountladder.membership.wire import Message
 from mountladder.metrics.metrics import Metrics
 
-LEAVING_SHOWN_MS = 10_000.0
+LEAVING_REPORT_MS = 10_000.0
 
 
-class Peers(LinkKeeper):
+class Peers(LinkManager):
     """Exchanges configuration changes, delegated writes and heartbeats with the other instances.
 
     Args:
@@ -68,18 +68,20 @@
         self.on_submit: Callable[[Submit], Submitted] | None = None
         self.on_submitted: Callable[[Submitted], None] = lambda submitted: None
         self.on_leaving_server: Callable[[str], None] = lambda name: None
-        follower.listeners.append(self.push)
+        follower.listeners.append(self.forward)
 
     def heartbeat(self) -> Heartbeat:
         """Return a heartbeat with this instance's revision and its age."""
         now = self.clock.now()
-        shown = [name for name, at in self.leaving_servers.items() if now - at < LEAVING_SHOWN_MS]
+        reported = [
+            name for name, at in self.leaving_servers.items() if now - at < LEAVING_REPORT_MS
+        ]
         age = self.follower.age_ms()
         age_ms = int(age) if age != float("inf") else 2**32 - 1
         revision = self.follower.configuration.revision
-        return Heartbeat(revision, age_ms, self.leaving, tuple(shown))
+        return Heartbeat(revision, age_ms, self.leaving, tuple(reported))
 
-    def push(self, changes: Sequence[Change]) -> None:
+    def forward(self, changes: Sequence[Change]) -> None:
         """Forward new changes to the peers that do not get them from their source.
 
         Changes from a peer of this data centre go to other data centres only, since that peer has
@@ -87,23 +89,23 @@
         """
         message = Changes(tuple(change.encode() for change in changes))
         here = self.membership.me.datacentre
-        told_neighbours = self.source is not None and self.source.datacentre == here
+        sent_locally = self.source is not None and self.source.datacentre == here
         for link in list(self.links.values()):
-            if told_neighbours and link.peer.datacentre == here:
+            if sent_locally and link.peer.datacentre == here:
                 continue
             gevent.spawn(self.try_send, link, message)
 
-    def server_leaving(self, name: str) -> None:
+    def report_leaving_server(self, name: str) -> None:
         """Report a backend server that announced that it is leaving to every peer."""
         fresh = name not in self.leaving_servers
         self.leaving_servers[name] = self.clock.now()
         if fresh:
-            self.tell_all()
+            self.send_heartbeats()
 
     @singledispatchmethod
     def handle(self, message: Message, link: Link) -> None:
         """Handle a message; types not handled here go to their subscribers."""
-        self.hand_over(message, link)
+        self.dispatch(message, link)
 
     @handle.register
     def _(self, message: Hello, link: Link) -> None:
@@ -111,17 +113,17 @@
 
     @handle.register
     def _(self, message: Heartbeat, link: Link) -> None:
-        self.membership.hear(link.peer, message.leaving)
+        self.membership.mark_alive(link.peer, message.leaving)
         for name in message.leaving_servers:
             self.on_leaving_server(name)
         own = self.follower.configuration.revision
         if message.revision > own:
-            self.send(link, Ask(own))
+            self.send(link, ChangesRequest(own))
         elif message.revision == own and message.age_ms < 2**32 - 1:
             self.follower.confirm(self.clock.now() - message.age_ms)
 
     @handle.register
-    def _(self, message: Ask, link: Link) -> None:
+    def _(self, message: ChangesRequest, link: Link) -> None:
         changes = self.follower.since(message.revision)
         if changes is None:
             self.send(link, Snapshot(self.follower.configuration.encode()))
@@ -137,7 +139,7 @@
         finally:
             self.source = None
         if changes and changes[-1].revision > self.follower.configuration.revision:
-            self.send(link, Ask(self.follower.configuration.revision))
+            self.send(link, ChangesRequest(self.follower.configuration.revision))
 
     @handle.register
     def _(self, message: Snapshot, link: Link) -> None:
--- a/packages/core/src/mountladder/membership/tcplink.py
+++ b/packages/core/src/mountladder/membership/tcplink.py
@@ -23,9 +23,9 @@
 
 NONCE_BYTES = 16
 PROOF_BYTES = 32
-SEAL_BYTES = 8
-MOST_HELLO_BYTES = 2_048
-MOST_MESSAGE_BYTES = 16 * 1024 * 1024
+MAC_BYTES = 8
+MAX_HELLO_BYTES = 2_048
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 HANDSHAKE_SECONDS = 3.0
 _HEAD = struct.Struct(">I8s")
 _SIZE = struct.Struct(">I")
@@ -67,9 +67,9 @@
         """
         self.connection.settimeout(HANDSHAKE_SECONDS)
         nonce = os.urandom(NONCE_BYTES)
-        greeting = encode(Hello(VERSION, self.me, nonce))
-        self.write(_SIZE.pack(len(greeting)) + greeting)
-        received = self.read_sized(MOST_HELLO_BYTES)
+        own_hello = encode(Hello(VERSION, self.me, nonce))
+        self.write(_SIZE.pack(len(own_hello)) + own_hello)
+        received = self.read_sized(MAX_HELLO_BYTES)
         hello = decode(received)
         if not isinstance(hello, Hello):
             raise PeerError("the first message is not a hello", Code.BAD_MESSAGE)
@@ -77,7 +77,7 @@
             raise PeerError(f"protocol version {hello.version}, not {VERSION}", Code.PEER_VERSION)
         if hello.instance.incarnation == self.me.incarnation:
             raise PeerError("an instance connected to itself", Code.PEER_REFUSED)
-        self.write(self.proof(hello.nonce, greeting))
+        self.write(self.proof(hello.nonce, own_hello))
         if not hmac.compare_digest(self.read(PROOF_BYTES), self.proof(nonce, received)):
             raise PeerError("", Code.PEER_REFUSED)
         self.send_key = self.proof(hello.nonce + nonce, b"session")
@@ -98,9 +98,9 @@
         """
         data = encode(message)
         with self.lock:
-            seal = _seal(self.send_key, self.sent_messages, data)
+            mac = _mac(self.send_key, self.sent_messages, data)
             self.sent_messages += 1
-            self.write(_HEAD.pack(len(data), seal) + data)
+            self.write(_HEAD.pack(len(data), mac) + data)
         return len(data) + _HEAD.size
 
     def receive(self) -> Message:
@@ -109,27 +109,27 @@
         Raises:
             PeerError: The connection is broken or the message fails authentication.
         """
-        size, seal = _HEAD.unpack(self.read(_HEAD.size))
-        if size > MOST_MESSAGE_BYTES:
+        size, mac = _HEAD.unpack(self.read(_HEAD.size))
+        if size > MAX_MESSAGE_BYTES:
             raise PeerError(
-                f"a message of {size} bytes exceeds {MOST_MESSAGE_BYTES}", Code.BAD_MESSAGE
+                f"a message of {size} bytes exceeds {MAX_MESSAGE_BYTES}", Code.BAD_MESSAGE
             )
         data = self.read(size)
-        expected = _seal(self.receive_key, self.received_messages, data)
+        expected = _mac(self.receive_key, self.received_messages, data)
         self.received_messages += 1
-        if not hmac.compare_digest(seal, expected):
+        if not hmac.compare_digest(mac, expected):
             raise PeerError("the MAC of a message does not match", Code.BAD_MESSAGE)
         return decode(data)
 
-    def read_sized(self, most: int) -> bytes:
+    def read_sized(self, limit: int) -> bytes:
         """Read a length-prefixed byte string.
 
         Raises:
             PeerError: The connection is broken or the length exceeds the limit.
         """
         (size,) = _SIZE.unpack(self.read(_SIZE.size))
-        if size > most:
-            raise PeerError(f"a hello message of {size} bytes exceeds {most}", Code.BAD_MESSAGE)
+        if size > limit:
+            raise PeerError(f"a hello message of {size} bytes exceeds {limit}", Code.BAD_MESSAGE)
         return self.read(size)
 
     def write(self, data: bytes) -> None:
@@ -168,6 +168,6 @@
         self.connection.close()
 
 
-def _seal(key: bytes, number: int, data: bytes) -> bytes:
-    seal = hashlib.blake2b(data, digest_size=SEAL_BYTES, key=key, salt=number.to_bytes(16, "big"))
-    return seal.digest()
+def _mac(key: bytes, number: int, data: bytes) -> bytes:
+    mac = hashlib.blake2b(data, digest_size=MAC_BYTES, key=key, salt=number.to_bytes(16, "big"))
+    return mac.digest()
--- a/packages/core/src/mountladder/membership/tcpnetwork.py
+++ b/packages/core/src/mountladder/membership/tcpnetwork.py
@@ -15,12 +15,12 @@
 from mountladder.errors import PeerError
 from mountladder.membership.instance import Instance
 from mountladder.membership.link import Link
-from mountladder.membership.listener import listener, split
+from mountladder.membership.listener import listening_socket, split_address
 from mountladder.membership.network import Network
 from mountladder.membership.tcplink import TcpLink
 
 CONNECT_SECONDS = 1.0
-MOST_LINKS = 1_024
+MAX_LINKS = 1_024
 STOP_SECONDS = 0.2
 
 
@@ -29,17 +29,17 @@
 
     Args:
         secret: The fleet's key.
-        listens: The IP number and port to listen on, or an empty string for the address that peers
-            connect to.
+        listen_address: The IP number and port to listen on, or an empty string for the address that
+            peers connect to.
     """
 
-    def __init__(self, secret: bytes, listens: str = "") -> None:
+    def __init__(self, secret: bytes, listen_address: str = "") -> None:
         self.secret = secret
-        self.listens = listens
+        self.listen_address = listen_address
 
     def connect(self, address: str, me: Instance) -> Link:
         """Open a link; see Network."""
-        host, port = split(address)
+        host, port = split_address(address)
         try:
             connection = socket.create_connection((host, port), CONNECT_SECONDS)
         except OSError as error:
@@ -54,6 +54,8 @@
             """Serve one link."""
             serve(TcpLink(connection, self.secret, me))
 
-        server = StreamServer(listener(self.listens or me.peer), accept, spawn=MOST_LINKS)
+        server = StreamServer(
+            listening_socket(self.listen_address or me.peer), accept, spawn=MAX_LINKS
+        )
         server.start()
         stack.callback(server.stop, STOP_SECONDS)
--- a/packages/core/src/mountladder/membership/wire.capnp
+++ b/packages/core/src/mountladder/membership/wire.capnp
@@ -3,6 +3,7 @@
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
+# First message of a handshake, which identifies the sender.
 struct Hello {
   version @0 :UInt16;
   name @1 :Text;
@@ -22,6 +23,7 @@
   leavingServers @3 :List(Text);
 }
 
+# Requests the configuration changes after a revision.
 struct Ask {
   revision @0 :UInt64;
 }
@@ -30,10 +32,12 @@
   values @0 :List(Data);
 }
 
+# A whole configuration, for a peer whose revision is too old for changes.
 struct Snapshot {
   value @0 :Data;
 }
 
+# Asks the peer to commit a write in a group commit.
 struct Submit {
   number @0 :UInt64;
   key @1 :Text;
@@ -66,6 +70,7 @@
   active @2 :Bool;
 }
 
+# Heartbeat between forwarding instances; beacon.py describes its fields.
 struct Beacon {
   catalogue @0 :UInt64;
   directory @1 :Position;
@@ -79,6 +84,8 @@
   drains @9 :List(DatacentreDrain);
 }
 
+# Requests newer state; a catalogue of -1 stands for none, and the directory is only requested if
+# wantsDirectory is set.
 struct Want {
   catalogue @0 :Int64;
   directory @1 :Position;
@@ -86,6 +93,7 @@
   wantsDirectory @3 :Bool;
 }
 
+# One part of a compressed catalogue.
 struct CatalogueSlice {
   version @0 :UInt64;
   offset @1 :UInt32;
@@ -108,6 +116,7 @@
   coldMs @10 :Float32;
 }
 
+# Changed entries of the list of backend servers.
 struct DirectoryCopy {
   position @0 :Position;
   records @1 :List(ServerRecord);
@@ -228,6 +237,7 @@
   }
 }
 
+# The root of every message between instances.
 struct Frame {
   union {
     hello @0 :Hello;
--- a/packages/core/src/mountladder/membership/wire.py
+++ b/packages/core/src/mountladder/membership/wire.py
@@ -24,9 +24,9 @@
 from mountladder.forwarding.stageoutcome import StageOutcome
 from mountladder.forwarding.stagerelease import StageRelease
 from mountladder.forwarding.stagewithdrawal import StageWithdrawal
-from mountladder.forwarding.want import Want
-from mountladder.membership.ask import Ask
+from mountladder.forwarding.updaterequest import UpdateRequest
 from mountladder.membership.changes import Changes
+from mountladder.membership.changesrequest import ChangesRequest
 from mountladder.membership.heartbeat import Heartbeat
 from mountladder.membership.hello import Hello
 from mountladder.membership.snapshot import Snapshot
@@ -38,11 +38,18 @@
 from mountladder.quarantine.suspicions import Suspicions
 
 VERSION = 8
-Configuring = Hello | Heartbeat | Ask | Changes | Snapshot | Submit | Submitted
-Forwarding = Beacon | Want | CatalogueSlice | DirectoryCopy | MemberList
-Stages = StageOrder | StageOutcome | StageWithdrawal | StageRelease | StageNotice
-Placing = PlacementOrder | PlacementReply | PlacementNote
-Message = Configuring | Forwarding | Stages | Placing | Suspicions | ServerNotices
+ConfigurationMessage = Hello | Heartbeat | ChangesRequest | Changes | Snapshot | Submit | Submitted
+StateMessage = Beacon | UpdateRequest | CatalogueSlice | DirectoryCopy | MemberList
+StageMessage = StageOrder | StageOutcome | StageWithdrawal | StageRelease | StageNotice
+PlacementMessage = PlacementOrder | PlacementReply | PlacementNote
+Message = (
+    ConfigurationMessage
+    | StateMessage
+    | StageMessage
+    | PlacementMessage
+    | Suspicions
+    | ServerNotices
+)
 
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(Path(__file__).with_name("wire.capnp")))
--- a/packages/core/src/mountladder/membership/wirereader.py
+++ b/packages/core/src/mountladder/membership/wirereader.py
@@ -25,9 +25,9 @@
 from mountladder.forwarding.stageoutcome import StageOutcome
 from mountladder.forwarding.stagerelease import StageRelease
 from mountladder.forwarding.stagewithdrawal import StageWithdrawal
-from mountladder.forwarding.want import Want
-from mountladder.membership.ask import Ask
+from mountladder.forwarding.updaterequest import UpdateRequest
 from mountladder.membership.changes import Changes
+from mountladder.membership.changesrequest import ChangesRequest
 from mountladder.membership.heartbeat import Heartbeat
 from mountladder.membership.hello import Hello
 from mountladder.membership.instance import Instance
@@ -91,9 +91,9 @@
     return Position(position.era, position.version)
 
 
-def _read_want(want) -> Want:
+def _read_want(want) -> UpdateRequest:
     directory = _read_position(want.directory) if want.wantsDirectory else None
-    return Want(want.catalogue, directory, want.members)
+    return UpdateRequest(want.catalogue, directory, want.members)
 
 
 def _read_record(record) -> ServerRecord:
@@ -209,7 +209,7 @@
 READERS = {
     "hello": _read_hello,
     "heartbeat": _read_heartbeat,
-    "ask": lambda ask: Ask(ask.revision),
+    "ask": lambda ask: ChangesRequest(ask.revision),
     "changes": lambda changes: Changes(tuple(bytes(value) for value in changes.values)),
     "snapshot": lambda snapshot: Snapshot(bytes(snapshot.value)),
     "submit": _read_submit,
--- a/packages/core/src/mountladder/membership/wirewriter.py
+++ b/packages/core/src/mountladder/membership/wirewriter.py
@@ -21,9 +21,9 @@
 from mountladder.forwarding.stageoutcome import StageOutcome
 from mountladder.forwarding.stagerelease import StageRelease
 from mountladder.forwarding.stagewithdrawal import StageWithdrawal
-from mountladder.forwarding.want import Want
-from mountladder.membership.ask import Ask
+from mountladder.forwarding.updaterequest import UpdateRequest
 from mountladder.membership.changes import Changes
+from mountladder.membership.changesrequest import ChangesRequest
 from mountladder.membership.heartbeat import Heartbeat
 from mountladder.membership.hello import Hello
 from mountladder.membership.snapshot import Snapshot
@@ -35,9 +35,9 @@
 from mountladder.quarantine.suspicions import Suspicions
 
 ANY_VERSION = -1
-MOST_AGE_MS = 2**32 - 1
-MOST_URGENCY = 255
-MOST_BARS = 2**16 - 1
+MAX_AGE_MS = 2**32 - 1
+MAX_URGENCY = 255
+MAX_BARS = 2**16 - 1
 FAILURES = (None, *PieceFailure)
 
 
@@ -68,13 +68,13 @@
 def _(message: Heartbeat, frame) -> None:
     heartbeat = frame.init("heartbeat")
     heartbeat.revision = message.revision
-    heartbeat.ageMs = min(message.age_ms, MOST_AGE_MS)
+    heartbeat.ageMs = min(message.age_ms, MAX_AGE_MS)
     heartbeat.leaving = message.leaving
     heartbeat.leavingServers = list(message.leaving_servers)
 
 
 @fill.register
-def _(message: Ask, frame) -> None:
+def _(message: ChangesRequest, frame) -> None:
     frame.init("ask").revision = message.revision
 
 
@@ -113,9 +113,9 @@
     beacon.catalogue = message.catalogue
     _fill_position(message.directory, beacon.directory)
     beacon.leaving = message.leaving
-    beacon.asks = message.asks
-    beacon.reads, beacon.fed = message.reads, message.fed
-    beacon.judges, beacon.cut = message.judges, list(message.cut)
+    beacon.asks = message.wants_reply
+    beacon.reads, beacon.fed = message.reads_store, message.store_answers
+    beacon.judges, beacon.cut = message.detects_partitions, list(message.unreachable)
     _fill_backlogs(message.backlogs, beacon.init("backlogs", len(message.backlogs)))
     drains = beacon.init("drains", len(message.drains))
     for drain, to in zip(message.drains, drains, strict=True):
@@ -124,7 +124,7 @@
 
 
 @fill.register
-def _(message: Want, frame) -> None:
+def _(message: UpdateRequest, frame) -> None:
     want = frame.init("want")
     want.catalogue = message.catalogue
     want.wantsDirectory = message.directory is not None
@@ -144,7 +144,7 @@
 def _(message: DirectoryCopy, frame) -> None:
     copy = frame.init("directoryCopy")
     _fill_position(message.position, copy.position)
-    copy.lapseMs = message.lapse_ms
+    copy.lapseMs = message.reappear_ms
     records = copy.init("records", len(message.records))
     for record, to in zip(message.records, records, strict=True):
         to.id, to.service = record.id, record.service
@@ -171,7 +171,7 @@
     order.request, order.stage, order.service = job.request, job.stage, job.service
     order.pieces, order.key, order.inputs = job.pieces, job.key, list(job.inputs)
     order.remainingMs, order.dueMs = job.deadline, job.due
-    order.urgency, order.datacentre = min(job.urgency, MOST_URGENCY), job.datacentre
+    order.urgency, order.datacentre = min(job.urgency, MAX_URGENCY), job.datacentre
     order.resultBytes, order.giveUpMs = job.result_bytes, job.give_up
     order.lent = message.lent
     order.fingerprint = bytes.fromhex(job.fingerprint)
@@ -197,7 +197,7 @@
 def _(message: StageNotice, frame) -> None:
     notice = frame.init("stageNotice")
     notice.request, notice.stage, notice.service = message.request, message.stage, message.service
-    notice.pieces, notice.urgency = message.pieces, min(message.urgency, MOST_URGENCY)
+    notice.pieces, notice.urgency = message.pieces, min(message.urgency, MAX_URGENCY)
     notice.givesWay = message.gives_way
 
 
@@ -217,7 +217,7 @@
     for part, to in zip(prompt.parts, parts, strict=True):
         to.id, to.tokens = part.id, part.tokens
     order.excluded, order.site = list(message.excluded), message.site
-    order.patienceMs, order.urgency = message.patience_ms, min(message.urgency, MOST_URGENCY)
+    order.patienceMs, order.urgency = message.patience_ms, min(message.urgency, MAX_URGENCY)
 
 
 @fill.register
@@ -242,12 +242,12 @@
     for one, to in zip(message.entries, entries, strict=True):
         to.fingerprint, to.service = bytes.fromhex(one.fingerprint), one.service
         to.sentAt, to.clearedAt = one.sent_at, one.cleared_at
-        to.bars, to.barredAt = min(one.bars, MOST_BARS), one.barred_at
+        to.bars, to.barredAt = min(one.bars, MAX_BARS), one.barred_at
         to.cleared = list(one.cleared)
         ends = to.init("ends", len(one.ends))
-        for end, told in zip(one.ends, ends, strict=True):
-            told.server, told.ranMs, told.at = end.server, end.ran_ms, end.at
-            told.alone = end.alone
+        for end, target in zip(one.ends, ends, strict=True):
+            target.server, target.ranMs, target.at = end.server, end.ran_ms, end.at
+            target.alone = end.alone
 
 
 @fill.register
--- a/packages/core/src/mountladder/notices/noticeboard.py
+++ b/packages/core/src/mountladder/notices/noticeboard.py
@@ -14,7 +14,7 @@
 from mountladder.clocks.clock import Clock
 from mountladder.configuration.backendserver import BackendServer
 from mountladder.forwarding.directory import Directory
-from mountladder.membership.linkkeeper import LinkKeeper
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.metrics.metrics import Metrics
 from mountladder.notices.leaving import Leaving
 from mountladder.notices.notice import Notice
@@ -29,7 +29,7 @@
     """Takes in what answers say of their servers, and hands each notice to who acts on it.
 
     Args:
-        keeper: Keeps the links to the other instances.
+        link_manager: Keeps the links to the other instances.
         directory: Which servers there are, and which of them are used.
         router: Leaves servers alone that ask this instance for rest.
         clock: The clock.
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        keeper: LinkKeeper,
+        link_manager: LinkManager,
         directory: Directory,
         router: Router,
         clock: Clock,
@@ -50,9 +50,9 @@
         self.router = router
         self.book = NoticeBook(clock, metrics)
         self.book.listed = directory.names
-        self.book.on_leaving = directory.renew
+        self.book.on_leaving = directory.rebuild
         directory.leaving_since = self.book.leaving_since
-        self.exchange = NoticeExchange(keeper, self.book, clock)
+        self.exchange = NoticeExchange(link_manager, self.book, clock)
 
     def hear(self, server: BackendServer, notices: Sequence[Notice], sent_at: float) -> None:
         """Take in what an answer says.
--- a/packages/core/src/mountladder/quarantine/barkeeper.py
+++ b/packages/core/src/mountladder/quarantine/barkeeper.py
@@ -13,7 +13,7 @@
 
 from mountladder.clocks.clock import Clock
 from mountladder.errors import StoreAmbiguousError, StoreUnavailableError
-from mountladder.forwarding.readers import Readers
+from mountladder.forwarding.readerelection import ReaderElection
 from mountladder.quarantine.barstore import BarStore
 from mountladder.quarantine.quarantine import Quarantine
 from mountladder.quarantine.suspicion import Suspicion
@@ -37,7 +37,7 @@
     Args:
         store: The platform's table.
         quarantine: This instance's book.
-        readers: Tells which instance follows the store.
+        reader_election: Tells which instance follows the store.
         clock: The clock.
 
     Attributes:
@@ -47,11 +47,11 @@
     """
 
     def __init__(
-        self, store: BarStore, quarantine: Quarantine, readers: Readers, clock: Clock
+        self, store: BarStore, quarantine: Quarantine, reader_election: ReaderElection, clock: Clock
     ) -> None:
         self.store = store
         self.quarantine = quarantine
-        self.readers = readers
+        self.reader_election = reader_election
         self.clock = clock
         self.waiting: OrderedDict[str, Suspicion | None] = OrderedDict()
         self.stored: dict[str, int] = {}
@@ -65,7 +65,7 @@
         """Have a bar written, where that is this instance's to do."""
         if self.stored.get(suspicion.fingerprint, 0) >= suspicion.bars:
             return
-        if seen_here or self.readers.reading:
+        if seen_here or self.reader_election.reading:
             self.waiting[suspicion.fingerprint] = suspicion
             self.wake.set()
 
@@ -97,9 +97,9 @@
 
     def run(self) -> None:
         """Read what is kept where that is this instance's to do, then write, for ever."""
-        while not self.readers.reading and not self.readers.has_fed_peer():
+        while not self.reader_election.reading and not self.reader_election.has_live_reader():
             self.clock.sleep(LOOK_MS)
-        while self.readers.reading and not self.read():
+        while self.reader_election.reading and not self.read():
             self.clock.sleep(RETRY_MS)
         while True:
             self.wake.wait()
--- a/packages/core/src/mountladder/quarantine/quarantineservice.py
+++ b/packages/core/src/mountladder/quarantine/quarantineservice.py
@@ -10,7 +10,7 @@
 
 from mountladder.clocks.clock import Clock
 from mountladder.configuration.backendserver import BackendServer
-from mountladder.membership.linkkeeper import LinkKeeper
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.metrics.metrics import Metrics
 from mountladder.quarantine.case import Case
 from mountladder.quarantine.fingerprint import fingerprint
@@ -26,7 +26,7 @@
     Args:
         refuses: Tells whether nobody listens at a server's address.
         listing: What the list of servers tells of ends.
-        keeper: Keeps the links to the other instances.
+        link_manager: Keeps the links to the other instances.
         secret: Returns the key that all instances share.
         clock: The clock.
         metrics: Where metrics go.
@@ -36,7 +36,7 @@
         self,
         refuses: Callable[[BackendServer], bool],
         listing: ServerListing,
-        keeper: LinkKeeper,
+        link_manager: LinkManager,
         secret: Callable[[], str],
         clock: Clock,
         metrics: Metrics,
@@ -46,7 +46,7 @@
         self.book = Quarantine(clock, metrics)
         self.ends = ServerEnds(refuses, listing, clock)
         self.ends.on_ended = self.book.interrupted
-        self.exchange = SuspicionExchange(keeper, self.book, clock)
+        self.exchange = SuspicionExchange(link_manager, self.book, clock)
 
     def case(self, request: str, texts: Sequence[str], body: bytes) -> Case:
         """Return an attempt at a request as the quarantine sees it.
--- a/packages/core/src/mountladder/runtime.py
+++ b/packages/core/src/mountladder/runtime.py
@@ -127,7 +127,7 @@
         chosen = policy or ExpectedCompletion(settings.drawn, settings.thrift)
         here = settings.datacentre
         self.router = Router(clock, rng, costs, chosen, metrics, here, settings.spill_ms)
-        self.router.on_leaving = self.peers.server_leaving
+        self.router.on_leaving = self.peers.report_leaving_server
         self.peers.on_leaving_server = self.router.leaving
         self.ledger = Ledger(self.me.incarnation)
         guard = self.make_quarantine(backend)
@@ -225,10 +225,10 @@
         while True:
             try:
                 self.platform.instances.announce(self.me)
-                self.membership.observe(self.platform.instances.instances())
+                self.membership.apply_list(self.platform.instances.instances())
             except MountladderError as error:
                 self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
-            pace = 1_000.0 * self.membership.writers() / self.settings.most_transactions
+            pace = 1_000.0 * self.membership.claim_writers() / self.settings.most_transactions
             self.commits.window_ms = max(self.settings.window_ms, pace)
             self.metrics.gauge(Metric.RUNNING, self.admission.total)
             self.metrics.gauge(Metric.WAITING, len(self.admission.waiting))
@@ -277,7 +277,7 @@
         self.stopping.set()
         self.admission.close()
         self.peers.leaving = True
-        self.peers.tell_all()
+        self.peers.send_heartbeats()
         self.try_announce_leaving()
         until = self.clock.now() + self.settings.shutdown_ms
         while (self.admission.total or self.idempotency.tasks) and self.clock.now() < until:
--- a/packages/core/src/mountladder/serverlimits/serverlimits.py
+++ b/packages/core/src/mountladder/serverlimits/serverlimits.py
@@ -66,7 +66,7 @@
         limited = self.limited(servers)
         if not limited:
             return {}
-        now, part = self.clock.now(), self.leadership.part(topic)
+        now, part = self.clock.now(), self.leadership.fraction(topic)
         return {name: self.bucket_of(name, part, now).wait_ms(now) for name in limited}
 
     def wait_ms(self, server: BackendServer, topic: str) -> float:
@@ -101,7 +101,7 @@
         if self.book.per_s(server.name) == UNLIMITED:
             self.buckets.pop(server.name, None)
             return None
-        return self.bucket_of(server.name, self.leadership.part(topic), self.clock.now())
+        return self.bucket_of(server.name, self.leadership.fraction(topic), self.clock.now())
 
     def bucket_of(self, name: str, part: float, now: float) -> TokenBucket:
         """Return what may be sent yet to a limited server.
--- a/packages/entry/src/mountladder_entry/httpbackend.py
+++ b/packages/entry/src/mountladder_entry/httpbackend.py
@@ -17,7 +17,7 @@
 from mountladder.code import Code
 from mountladder.configuration.backendserver import BackendServer
 from mountladder.errors import StageError, WaitTimeoutError
-from mountladder.membership.listener import split
+from mountladder.membership.listener import split_address
 from mountladder.requests.backend import Backend
 from mountladder.requests.chunk import Chunk
 from mountladder.requests.eventreader import EventReader
@@ -194,7 +194,7 @@
 
     def refuses(self, server: BackendServer) -> bool:
         """Tell whether nobody listens at a server's address; see Backend."""
-        host, port = split(server.address)
+        host, port = split_address(server.address)
         try:
             socket.create_connection((host, port), CONNECT_SECONDS).close()
         except ConnectionRefusedError:
--- a/packages/entry/src/mountladder_entry/node.py
+++ b/packages/entry/src/mountladder_entry/node.py
@@ -11,7 +11,7 @@
 from mountladder.clocks.clock import Clock
 from mountladder.configuration.settings import Settings
 from mountladder.engines.engines import Engines
-from mountladder.membership.listener import listener
+from mountladder.membership.listener import listening_socket
 from mountladder.membership.tcpnetwork import TcpNetwork
 from mountladder.metrics.metrics import Metrics
 from mountladder.requests.backend import Backend
@@ -58,7 +58,7 @@
         """Open the listening sockets and start the tasks."""
         super().start()
         self.web = WSGIServer(
-            listener(self.settings.web),
+            listening_socket(self.settings.web),
             make_application(self),
             log=None,
             error_log=QuietLog(),
--- a/packages/standins/src/mountladder_standins/faultplan.py
+++ b/packages/standins/src/mountladder_standins/faultplan.py
@@ -93,7 +93,7 @@
 
     def cut_datacentres(self) -> None:
         """Cut the data centres off from each other, or end that."""
-        self.fleet.network.cut ^= {frozenset(DATACENTRES)}
+        self.fleet.network.cut_datacentres ^= {frozenset(DATACENTRES)}
 
     def replace_instance(self) -> None:
         """Kill an instance and start another in its place."""
@@ -105,4 +105,4 @@
         """Mend everything."""
         self.mend_servers()
         self.mend_store()
-        self.fleet.network.cut.clear()
+        self.fleet.network.cut_datacentres.clear()
--- a/packages/standins/src/mountladder_standins/forwardfleet.py
+++ b/packages/standins/src/mountladder_standins/forwardfleet.py
@@ -122,7 +122,7 @@
         self.bars.rows = dict(self.copied_bars)
         self.listed.history = {name: list(one) for name, one in self.copied_instances.items()}
         for source in (self.catalogue, self.servers):
-            source.come_back_older()
+            source.restore_copy()
 
     def start(self, name: str) -> ForwardingInstance:
         """Start an instance, anew where it ran before."""
--- a/packages/standins/src/mountladder_standins/listening.py
+++ b/packages/standins/src/mountladder_standins/listening.py
@@ -12,7 +12,7 @@
 from gevent import socket
 from gevent.pywsgi import WSGIServer
 
-from mountladder.membership.listener import listener
+from mountladder.membership.listener import listening_socket
 
 
 def listen(app: bottle.Bottle, address: str, stack: ExitStack) -> str:
@@ -23,7 +23,7 @@
         address: The IP number and port; port 0 takes any free one.
         stack: What owns the server.
     """
-    server = WSGIServer(listener(address), app, log=None, error_log=None)
+    server = WSGIServer(listening_socket(address), app, log=None, error_log=None)
     server.start()
     stack.callback(server.stop, 0.1)
     return f"{server.server_host}:{server.server_port}"
