--- a/packages/core/src/mountladder/forwarding/coldservers.py
+++ b/packages/core/src/mountladder/forwarding/coldservers.py
@@ -68,7 +68,7 @@
         Every placement calls this with all model servers. Reading the clock takes a system call,
         so it is read once, and not at all while no server was cold recently.
         """
-        if not self.directory.cold_until and not self.directory.drains.returned_at:
+        if not self.directory.cold_until and not self.directory.drains.undrained_at:
             return frozenset()
         now = self.clock.now()
         return frozenset(one.name for one in servers if self.is_cold_at(one, now))
@@ -80,7 +80,7 @@
         """
         if self.directory.cold_until.get(server.labels[ID_LABEL], -math.inf) > now:
             return True
-        returned_at = self.directory.drains.returned_at.get(server.datacentre)
+        returned_at = self.directory.drains.undrained_at.get(server.datacentre)
         if returned_at is None:
             return False
         service = self.follower.service(server.labels[SERVICE_LABEL])
--- a/packages/core/src/mountladder/forwarding/forwarder.py
+++ b/packages/core/src/mountladder/forwarding/forwarder.py
@@ -75,7 +75,7 @@
             team=run.team,
             service=run.service,
             version=catalogue.version,
-            catalogue_age_ms=self.context.follower.shown_age(),
+            catalogue_age_ms=self.context.follower.rounded_age_ms(),
             allowed_ms=round(request.allowed_ms),
             pieces=request.pieces,
             tokens=request.prompt.tokens if request.prompt else 0,
@@ -97,14 +97,14 @@
     ) -> CallerTeam | None:
         """Return the team of a request's API key, or None without one on a public route."""
         caller = catalogue.keys.get(request.key)
-        if caller is None and catalogue.guarded and not route.public:
+        if caller is None and catalogue.requires_key and not route.public:
             raise self.unknown_refusal(Code.UNAUTHENTICATED)
         return caller
 
     def unknown_refusal(self, code: Code) -> RefusalError:
         """Return the refusal of an unknown route or key, which a newer catalogue may contain."""
         follower = self.context.follower
-        if follower.age_ms() > STALE_MS and not follower.is_fed():
+        if follower.age_ms() > STALE_MS and not follower.is_feed_live():
             detail = "the catalogue has not been confirmed recently"
             return RefusalError(detail, Code.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         return RefusalError("", code)
@@ -121,5 +121,5 @@
             code=error.code.number,
             reason=error.detail,
             version=follower.version,
-            catalogue_age_ms=follower.shown_age(),
+            catalogue_age_ms=follower.rounded_age_ms(),
         )
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -27,10 +27,11 @@
 from mountladder.forwarding.forwardingsettings import ForwardingSettings
 from mountladder.forwarding.leadership import Leadership
 from mountladder.forwarding.memberreader import MemberReader
+from mountladder.forwarding.pageapplier import PageApplier
 from mountladder.forwarding.placementcoordinator import PlacementCoordinator
 from mountladder.forwarding.platformtables import PlatformTables
 from mountladder.forwarding.promptplacer import PromptPlacer
-from mountladder.forwarding.readers import PULSE_MS
+from mountladder.forwarding.readerelection import READER_BEACON_MS
 from mountladder.forwarding.retrybudgets import RetryBudgets
 from mountladder.forwarding.serverpicker import ServerPicker
 from mountladder.forwarding.shutdown import Shutdown
@@ -39,7 +40,6 @@
 from mountladder.forwarding.sourcepage import SourcePage
 from mountladder.forwarding.stagedispatch import StageDispatch
 from mountladder.forwarding.stageforecast import StageForecast
-from mountladder.forwarding.storeintake import StoreIntake
 from mountladder.forwarding.upstream import Upstream
 from mountladder.membership.instance import Instance
 from mountladder.membership.membership import Membership
@@ -80,16 +80,7 @@
         seed: The seed of the random number generator, or None for a random one.
     """
 
-    def __init__(
-        self,
-        settings: ForwardingSettings,
-        clock: Clock,
-        tables: PlatformTables,
-        upstream: Upstream,
-        network: Network,
-        metrics: Metrics,
-        seed: int | None = None,
-    ) -> None:
+    def __init__(self, settings: ForwardingSettings, clock: Clock, tables: PlatformTables, upstream: Upstream, network: Network, metrics: Metrics, seed: int | None = None) -> None:
         self.settings = settings
         self.clock = clock
         self.tables = tables
@@ -98,43 +89,23 @@
         self.stack = ExitStack()
         self.rng = random.Random(seed)
         self.shutdown = Shutdown(clock, lambda: self.settings.grace_ms)
-        self.me = Instance(
-            settings.name,
-            uuid.uuid4().hex[:12],
-            settings.datacentre,
-            "",
-            settings.peer,
-            cores=settings.cores,
-            since=int(clock.wall()),
-        )
+        self.me = Instance(settings.name, uuid.uuid4().hex[:12], settings.datacentre, "", settings.peer, cores=settings.cores, since=int(clock.wall()))
         self.follower = CatalogueFollower(tables.decode_catalogue, clock)
         self.directory = Directory(clock)
         self.membership = Membership(self.me, clock, HEARTBEAT_MS)
         self.budgets = RetryBudgets(lambda: self.settings, self.membership, clock)
-        self.fleet = Fleet(
-            self.membership, network, clock, metrics, settings.seeds, self.follower, self.directory
-        )
+        self.fleet = Fleet(self.membership, network, clock, metrics, settings.seeds, self.follower, self.directory)
         self.build(upstream)
 
     def build(self, upstream: Upstream) -> None:
         """Create and connect the components of the request path."""
         clock, metrics = self.clock, self.metrics
-        self.router = Router(
-            clock,
-            self.rng,
-            CostModel(),
-            ExpectedCompletion(),
-            metrics,
-            self.settings.datacentre,
-            CROSS_DATACENTRE_MS,
-        )
+        self.router = Router(clock, self.rng, CostModel(), ExpectedCompletion(), metrics, self.settings.datacentre, CROSS_DATACENTRE_MS)
         leadership = Leadership(self.fleet, clock)
         self.cold = ColdServers(self.directory, self.follower, leadership, clock)
         self.notices = NoticeDispatcher(self.fleet, self.directory, self.router, clock, metrics)
         self.limits = ServerLimits(self.notices.registry, leadership, clock)
-        coordinator = PlacementCoordinator(
-            self.directory, self.router, clock, self.follower, self.cold, self.limits
-        )
+        coordinator = PlacementCoordinator(self.directory, self.router, clock, self.follower, self.cold, self.limits)
         placer = PromptPlacer(self.fleet, coordinator, clock)
         picker = ServerPicker(self.directory, self.router, placer, self.cold, self.limits)
         self.upstream = upstream
@@ -144,32 +115,21 @@
         self.dispatch = StageDispatch(self.fleet, self.make_batcher, clock)
         self.directory.listeners.append(self.pump_batchers)
         self.forwarder = Forwarder(self.make_context(picker))
-        intake = StoreIntake(self.tables, self.follower, self.directory, self.fleet.eras, clock)
-        self.catalogue_source = self.make_follower(
-            "catalogue", self.tables.catalogue, intake.take_catalogue
-        )
-        self.directory_source = self.make_follower(
-            "servers", self.tables.servers, intake.take_servers
-        )
-        self.directory_source.on_regained = self.directory.regained
+        applier = PageApplier(self.tables, self.follower, self.directory, self.fleet.eras, clock)
+        self.catalogue_source = self.make_follower("catalogue", self.tables.catalogue, applier.apply_catalogue)
+        self.directory_source = self.make_follower("servers", self.tables.servers, applier.apply_servers)
+        self.directory_source.on_reachable = self.directory.mark_store_reachable
         self.member_reader = MemberReader(self.tables.instances, self.fleet, clock)
-        self.fleet.is_fed = self.follows_store
-        self.follower.is_fed = self.is_fed
+        self.fleet.is_store_answering = self.follows_store
+        self.follower.is_feed_live = self.is_fed
 
     def build_quarantine(self, upstream: Upstream) -> None:
         """Create and connect the components that track which requests crash servers."""
-        self.quarantine = QuarantineService(
-            upstream.refuses,
-            DirectoryListing(self.directory),
-            self.fleet,
-            lambda: self.settings.secret,
-            self.clock,
-            self.metrics,
-        )
+        self.quarantine = QuarantineService(upstream.refuses, DirectoryListing(self.directory), self.fleet, lambda: self.settings.secret, self.clock, self.metrics)
         self.directory.listeners.append(self.quarantine.detector.check_listing)
-        registry, readers = self.quarantine.registry, self.fleet.readers
+        registry, reader_election = self.quarantine.registry, self.fleet.reader_election
         registry.on_server_crashed = self.disable_server
-        self.bar_keeper = SuspicionPersister(self.tables.bars, registry, readers, self.clock)
+        self.bar_keeper = SuspicionPersister(self.tables.bars, registry, reader_election, self.clock)
         self.fleet.eras.listeners.append(self.bar_keeper.rewrite_recent)
 
     def disable_server(self, name: str) -> None:
@@ -180,57 +140,19 @@
 
     def make_context(self, picker: ServerPicker) -> ForwardContext:
         """Return the state that forwarded requests share."""
-        return ForwardContext(
-            clock=self.clock,
-            rng=self.rng,
-            follower=self.follower,
-            picker=picker,
-            upstream=self.upstream,
-            dispatch=self.dispatch,
-            forecast=StageForecast(self.dispatch, self.follower),
-            budget=self.budgets.of,
-            metrics=self.metrics,
-            shutdown=self.shutdown,
-            fetch_time=FetchTime(),
-            quarantine=self.quarantine,
-            notices=self.notices,
-        )
+        return ForwardContext(clock=self.clock, rng=self.rng, follower=self.follower, picker=picker, upstream=self.upstream, dispatch=self.dispatch, forecast=StageForecast(self.dispatch, self.follower), budget=self.budgets.of, metrics=self.metrics, shutdown=self.shutdown, fetch_time=FetchTime(), quarantine=self.quarantine, notices=self.notices)
 
-    def make_follower(
-        self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]
-    ) -> SourceFollower:
+    def make_follower(self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]) -> SourceFollower:
         """Return a follower of a table; it reads while this instance is to follow the store."""
-        readers = self.fleet.readers
-        follower = SourceFollower(
-            name,
-            source,
-            self.clock,
-            self.metrics,
-            apply,
-            self.settings.feed_ms,
-            readers.is_due,
-            readers.idle_ms,
-        )
-        readers.nudges.append(follower.nudge)
-        follower.on_lost = self.fleet.pulse
+        reader_election = self.fleet.reader_election
+        follower = SourceFollower(name, source, self.clock, self.metrics, apply, self.settings.feed_wait_ms, reader_election.is_due, reader_election.idle_ms)
+        reader_election.wake_events.append(follower.wake)
+        follower.on_unreachable = self.fleet.announce_reader
         return follower
 
     def make_batcher(self, service: str) -> Batcher:
         """Return a new batcher of a service."""
-        return Batcher(
-            service,
-            self.follower,
-            self.fleet.division,
-            self.router,
-            self.upstream,
-            self.quarantine,
-            self.budgets.of(service),
-            self.clock,
-            self.metrics,
-            self.cold,
-            self.limits,
-            self.notices,
-        )
+        return Batcher(service, self.follower, self.fleet.division, self.router, self.upstream, self.quarantine, self.budgets.of(service), self.clock, self.metrics, self.cold, self.limits, self.notices)
 
     def pump_batchers(self) -> None:
         """Have every batcher send what the current servers can take."""
@@ -244,11 +166,11 @@
         """
         known = self.membership.addressed()
         reachable = not known or any(self.fleet.is_alive(one) for one in known)
-        return reachable and (self.follows_store() or self.fleet.readers.has_fed_peer())
+        return reachable and (self.follows_store() or self.fleet.reader_election.has_live_reader())
 
     def follows_store(self) -> bool:
         """Return whether this instance follows the store and the store answers."""
-        return self.catalogue_source.fed and self.directory_source.fed
+        return self.catalogue_source.is_answered and self.directory_source.is_answered
 
     @property
     def leaving(self) -> bool:
@@ -263,15 +185,7 @@
     def start(self) -> None:
         """Start the background tasks; closing the stack stops them."""
         self.network.listen(self.me, self.fleet.serve, self.stack)
-        loops: tuple[Callable[[], None], ...] = (
-            self.catalogue_source.run,
-            self.directory_source.run,
-            self.member_reader.run,
-            self.bar_keeper.run,
-            self.keep_announcing,
-            self.keep_checking_reachability,
-            self.fleet.run,
-        )
+        loops: tuple[Callable[[], None], ...] = (self.catalogue_source.run, self.directory_source.run, self.member_reader.run, self.bar_keeper.run, self.keep_announcing, self.keep_checking_reachability, self.fleet.run)
         tasks = [gevent.spawn(keep_running, loop, self.clock) for loop in loops]
         self.stack.callback(self.fleet.close)
         self.stack.callback(gevent.killall, tasks, block=False)
@@ -280,22 +194,22 @@
     def keep_announcing(self) -> None:
         """Announce periodically, while it is so, that this instance follows the store."""
         while True:
-            self.clock.sleep(PULSE_MS)
-            if self.fleet.readers.reading:
-                self.fleet.pulse()
+            self.clock.sleep(READER_BEACON_MS)
+            if self.fleet.reader_election.reading:
+                self.fleet.announce_reader()
 
     def keep_checking_reachability(self) -> None:
         """Poll which data centres are reachable, more often where this instance decides it."""
         while True:
-            decides_here = bool(self.fleet.contacts.other_places())
+            decides_here = bool(self.fleet.coordinators.remote_candidates())
             self.clock.sleep(REACHABILITY_POLL_MS if decides_here else REACHABILITY_IDLE_POLL_MS)
-            self.fleet.watch_datacentres()
+            self.fleet.check_datacentres()
 
     def leave(self) -> None:
         """Begin the shutdown and announce it to the load balancer and the peers."""
         self.shutdown.begin()
         self.fleet.leaving = self.fleet.ranking.leaving = True
-        self.fleet.tell_all()
+        self.fleet.send_heartbeats()
 
     def close(self) -> None:
         """Stop every task and close all connections."""
--- a/packages/core/src/mountladder/forwarding/leadership.py
+++ b/packages/core/src/mountladder/forwarding/leadership.py
@@ -1,32 +1,33 @@
-# leadership.py -- Whether work surely meets on this instance
+# leadership.py -- Decides whether this instance is certain to coordinate a topic
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whether work surely meets on this instance."""
+"""Decides whether this instance is certain to coordinate a topic."""
 
 from __future__ import annotations
 
 from mountladder.clocks.clock import Clock
-from mountladder.forwarding.contacts import HOMES_KEPT
+from mountladder.forwarding.coordinators import COORDINATORS_PER_TOPIC
 from mountladder.forwarding.fleet import Fleet
 
-# How long after its start an instance has heard of all others: it reads their list within some
-# 10 ms, and dials those that do not answer at once again after 250 ms.
+# After this time since its start an instance knows all others: it reads their list within about
+# 10 ms, and redials those that do not answer at once after 250 ms.
 LEAD_AFTER_MS = 1_000.0
-# For how long an answer is kept: it looks at each link, and every prompt asks while servers are
-# cold. Silence of a link takes three heartbeats to show, at least 750 ms.
-KEPT_MS = 50.0
-# Those that cannot leave it to the instance where work surely meets spend this part of a common
-# limit, all of them together. Half as much again is borne.
-ALONE_PART = 0.4
+# How long a result is cached: computing it checks every link, and every prompt needs it while
+# servers are cold. A silent link is detected after three heartbeats, at least 750 ms, so little is
+# lost.
+CACHE_MS = 50.0
+# The fraction of a common limit that all instances together may spend which cannot leave it to a
+# certain coordinator. Servers tolerate half as much again over their limit.
+ALONE_FRACTION = 0.4
 
 
 class Leadership:
-    """Tells whether a topic's work surely meets here, not only since nobody else is reached.
+    """Decides whether this instance coordinates a topic, and not just because it reaches no other.
 
-    For what may be done by a few instances at most, without an agreement: only the first by rank
-    qualify, once they had the time to hear of the others, and while they reach at least half of
-    those they talk to. One that is cut off, or does not know the others yet, does not.
+    Restricts an action to at most a few instances without consensus. An instance leads only if it
+    is among the highest ranked, has had the time to discover the others, and reaches at least half
+    of those it keeps links to. One that is partitioned off, or has just started, does not lead.
 
     Args:
         fleet: The other instances.
@@ -37,41 +38,41 @@
         self.fleet = fleet
         self.clock = clock
         self.started = clock.now()
-        self.kept: dict[str, tuple[float, bool]] = {}
+        self.cache: dict[str, tuple[float, bool]] = {}
 
     def leads(self, topic: str) -> bool:
-        """Tell whether the work of a topic surely meets here."""
+        """Return whether this instance is certain to coordinate a topic."""
         now = self.clock.now()
         if now < self.started + LEAD_AFTER_MS:
             return False
-        until, answer = self.kept.get(topic, (now, False))
+        until, answer = self.cache.get(topic, (now, False))
         if until <= now:
             answer = self.reaches_most(topic)
-            self.kept[topic] = (now + KEPT_MS, answer)
+            self.cache[topic] = (now + CACHE_MS, answer)
         return answer
 
-    def part(self, topic: str) -> float:
-        """Return which part of what all may send to a server together may be sent from here."""
+    def fraction(self, topic: str) -> float:
+        """Return what fraction of a server's common limit this instance may spend."""
         if self.leads(topic):
             return 1.0
-        return ALONE_PART * self.served(topic) / self.fleet.membership.sharing()
+        return ALONE_FRACTION * self.count_served(topic) / self.fleet.membership.budget_sharers()
 
-    def served(self, topic: str) -> int:
-        """Return for how many instances this one decides: itself, and those that it reaches.
+    def count_served(self, topic: str) -> int:
+        """Return how many instances this one decides for: one, or itself and those it reaches.
 
-        Those behind a cut leave their work to the first one there.
+        Instances on the far side of a partition leave their work to a coordinator there.
         """
-        if self.fleet.home(topic) is not None:
+        if self.fleet.coordinator(topic) is not None:
             return 1
-        return 1 + self.reached()
+        return 1 + self.count_answering()
 
     def reaches_most(self, topic: str) -> bool:
-        """Tell whether this instance is among the first, meets none before it, and most others."""
-        firsts = self.fleet.contacts.ranked(topic)[:HOMES_KEPT]
-        if self.fleet.membership.me not in firsts or self.fleet.home(topic) is not None:
+        """Return whether this instance is a topic's coordinator and reaches most others."""
+        candidates = self.fleet.coordinators.ranked(topic)[:COORDINATORS_PER_TOPIC]
+        if self.fleet.membership.me not in candidates or self.fleet.coordinator(topic) is not None:
             return False
-        return 2 * self.reached() >= len(self.fleet.dialers)
+        return 2 * self.count_answering() >= len(self.fleet.dialers)
 
-    def reached(self) -> int:
-        """Return how many of the others answer this instance."""
+    def count_answering(self) -> int:
+        """Return how many of the other instances answer this one."""
         return sum(self.fleet.is_answering(link) for link in self.fleet.links.values())
--- a/packages/core/src/mountladder/forwarding/memberreader.py
+++ b/packages/core/src/mountladder/forwarding/memberreader.py
@@ -1,8 +1,8 @@
-# memberreader.py -- Reading the platform's list of instances
+# memberreader.py -- Registers this instance on the platform's list and reads the others from it
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Reading the platform's list of instances."""
+"""Registers this instance on the platform's list and reads the others from it."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from mountladder.errors import StoreAmbiguousError, StoreUnavailableError
 from mountladder.forwarding.fleet import Fleet
 from mountladder.forwarding.memberlist import MemberList
-from mountladder.forwarding.want import Want
+from mountladder.forwarding.updaterequest import UpdateRequest
 from mountladder.membership.link import Link
 from mountladder.store.eratracker import MAX_COPY_AGE_MS
 from mountladder.store.instancelist import InstanceList
 
-# How often the list is read again; new instances make themselves known before.
-READ_MS = 20_000.0
+# How often the list is read again; new instances connect to their peers before.
+READ_INTERVAL_MS = 20_000.0
 RETRY_MS = 1_000.0
-# Over which time instances make themselves known again: 390 make 195 calls a second.
+# The time over which instances spread their renewed registration: 390 make 195 calls a second.
 SPREAD_MS = 2_000
 
 
 class MemberReader:
-    """Makes this instance known on the platform's list, and reads the others from it or from peers.
+    """Registers this instance on the platform's list, and reads the others from it or from peers.
 
-    Those that leave the store to this instance are told what a reading has brought.
+    If this instance polls the store for its reader group, it sends new entries on to the group.
 
     Args:
         instances: The platform's list.
@@ -37,7 +37,7 @@
         clock: The clock.
 
     Attributes:
-        announced_at: When this instance made itself known, or None where it has to yet.
+        announced_at: When this instance registered itself, or None if it still has to.
     """
 
     def __init__(self, instances: InstanceList, fleet: Fleet, clock: Clock) -> None:
@@ -48,70 +48,71 @@
         self.announced_at: float | None = None
         self.wake = Event()
         fleet.eras.listeners.append(self.announce_again)
-        fleet.on_reached = self.ask
-        fleet.subscribe(MemberList, self.take)
+        fleet.on_link_opened = self.request_members
+        fleet.subscribe(MemberList, self.receive)
 
     def run(self) -> None:
-        """Announce this instance, and read the list now and then, for ever."""
+        """Register this instance, and read the list periodically, forever."""
         while True:
-            pause_ms = READ_MS
+            pause_ms = READ_INTERVAL_MS
             try:
                 if self.announced_at is None:
                     self.instances.announce(self.membership.me)
                     self.announced_at = self.clock.now()
-                if self.fleet.readers.reading or not self.membership.listed:
+                if self.fleet.reader_election.reading or not self.membership.listed:
                     self.read()
             except (StoreUnavailableError, StoreAmbiguousError) as error:
                 announced = self.announced_at is not None
-                log_message("instances-unread", reason=str(error), announced=announced)
+                log_message("instance-list-unavailable", reason=str(error), announced=announced)
                 pause_ms = RETRY_MS
             self.wake.clear()
             self.clock.wait(self.wake, pause_ms)
 
     def announce_again(self) -> None:
-        """Make this instance known again where a store that came back older may not know it.
+        """Register this instance again if a restored store may have lost its entry.
 
-        Only those do that started lately, spread over some time, so that a whole fleet that has
-        just started stays well below what the store takes in a second.
+        Only instances that started recently can be affected. They spread their calls, so that a
+        fleet that has just started stays well below the rate that the store sustains.
         """
         now = self.clock.now()
         if self.announced_at is None or now - self.announced_at > MAX_COPY_AGE_MS:
             return
 
         def announce() -> None:
-            """Have it done."""
+            """Wake the loop to register again."""
             self.announced_at = None
             self.wake.set()
 
-        # By hash, so that each has its own moment.
+        # A hash of the name gives each instance its own delay.
         delay_ms = float(xxhash.xxh64_intdigest(self.membership.me.name.encode()) % SPREAD_MS)
-        log_message("announced-again", after_ms=round(delay_ms))
+        log_message("instance-registered-again", after_ms=round(delay_ms))
         self.clock.call_later(delay_ms, announce)
 
     def read(self) -> None:
-        """Read the list, and tell of what is new there.
+        """Read the list, and send new entries to the reader group.
 
         Raises:
             StoreUnavailableError: The store does not answer.
         """
         before = {one.incarnation for one in self.membership.known.values()}
-        self.membership.observe(self.instances.instances())
+        self.membership.apply_list(self.instances.instances())
         new = [one for one in self.membership.addressed() if one.incarnation not in before]
-        if self.fleet.readers.reading:
-            self.fleet.tell_members(new, self.fleet.near_links())
+        if self.fleet.reader_election.reading:
+            self.fleet.send_members(new, self.fleet.reader_group_links())
         self.fleet.retarget.set()
         log_message("instances-read", known=len(self.membership.known))
 
-    def ask(self, link: Link) -> None:
-        """Ask a peer which instances there are, where the platform's list could not be read.
+    def request_members(self, link: Link) -> None:
+        """Request the known instances from a peer if the platform's list could not be read.
 
-        To tell everybody who connects takes 19 KB and 4 ms a link with 195 instances.
+        They are not sent to every peer unasked, since that takes 19 KB and 4 ms a link with 195
+        instances.
         """
         if not self.membership.listed:
-            self.fleet.send_later(link, Want(-1, None, members=True))
+            self.fleet.send_later(link, UpdateRequest(-1, None, members=True))
 
-    def take(self, message: MemberList, link: Link) -> None:
-        """Take in instances that a peer knows."""
+    def receive(self, message: MemberList, link: Link) -> None:
+        """Add the instances that a peer knows."""
         for instance in message.instances:
-            self.membership.mention(instance)
+            self.membership.add_reported(instance)
         self.fleet.retarget.set()
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -57,7 +57,7 @@
     def place(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementReply:
         """Return the placement of a prompt; its number identifies the prompt until it ends."""
         order = self.make_order(service, prompt, wish)
-        link = self.fleet.home(prompts_topic(service))
+        link = self.fleet.coordinator(prompts_topic(service))
         reply = self.ask(link, order) if link is not None else None
         if reply is None:
             return self.place_order(order)
--- a/packages/core/src/mountladder/forwarding/releaser.py
+++ b/packages/core/src/mountladder/forwarding/releaser.py
@@ -108,7 +108,7 @@
             by_address.setdefault(handle.partition("/")[0], []).append(handle)
         for address, grouped in by_address.items():
             # A server that is no longer listed is gone, and its results with it.
-            server = self.directory.listed_at.get(address)
+            server = self.directory.by_address.get(address)
             if server is not None:
                 self.upstream.free(server, grouped, self.on_notices)
         self.on_released(handles)
--- a/packages/core/src/mountladder/forwarding/retrybudgets.py
+++ b/packages/core/src/mountladder/forwarding/retrybudgets.py
@@ -43,7 +43,7 @@
 
     def reserve(self) -> float:
         """Return this instance's share of the common reserve of retries."""
-        return self.settings().retry_reserve / self.membership.sharing()
+        return self.settings().retry_reserve / self.membership.budget_sharers()
 
     def renew(self) -> None:
         """Recreate all budgets after a change of settings."""
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -87,7 +87,7 @@
         Raises:
             RefusalError: No server exists, is in use, can be reached or accepts it in time.
         """
-        if self.directory.is_cut_off(service):
+        if self.directory.is_unreachable(service):
             # Each failing connection attempt would cost the caller 300 ms.
             raise self.unavailable_refusal(service)
         if request.prompt is not None:
@@ -153,7 +153,7 @@
     def is_probe_due(self, service: str, free: tuple[BackendServer, ...]) -> bool:
         """Return whether rate-limited servers are to be used in addition to unlimited ones."""
         now = self.router.clock.now()
-        every_ms = LIMITED_PROBE_MS * self.placer.fleet.membership.sharing()
+        every_ms = LIMITED_PROBE_MS * self.placer.fleet.membership.budget_sharers()
         due = now - self.probed_at.get(service, -every_ms) >= every_ms
         if (
             not due
--- a/packages/core/src/mountladder/forwarding/stagebacklogs.py
+++ b/packages/core/src/mountladder/forwarding/stagebacklogs.py
@@ -48,7 +48,7 @@
         """Return the backlogs of the services that this instance coordinates."""
         # Divided services are included without local pieces too: other data centres may lend some.
         coordinated = self.batchers.keys() | self.fleet.division.divided
-        services = [one for one in sorted(coordinated) if self.fleet.home(one) is None]
+        services = [one for one in sorted(coordinated) if self.fleet.coordinator(one) is None]
         return tuple(self.local_backlog(service) for service in services)
 
     def local_backlog(self, service: str) -> Backlog:
@@ -56,7 +56,7 @@
         own = self.batcher(service).backlog()
         if not self.fleet.division.is_divided(service):
             return own
-        elsewhere = self.lending.min_waits_ms(service, self.fleet.places(service))
+        elsewhere = self.lending.min_waits_ms(service, self.fleet.coordinator_links(service))
         waits = tuple(min(pair) for pair in zip(own.waits_ms, elsewhere, strict=True))
         return Backlog(service, waits, own.waits_ms)
 
@@ -73,7 +73,7 @@
         A wait that another instance reported is reduced by the time since the report.
         """
         priority = priority_class(urgency, gives_way)
-        if self.fleet.home(service) is None:
+        if self.fleet.coordinator(service) is None:
             return self.local_backlog(service).waits_ms[priority]
         backlog, reported_at = self.reported.get(service, (None, 0.0))
         if backlog is None:
--- a/packages/core/src/mountladder/forwarding/stagedispatch.py
+++ b/packages/core/src/mountladder/forwarding/stagedispatch.py
@@ -94,7 +94,7 @@
 
     def assign(self, submission: Submission) -> None:
         """Send a stage to its service's coordinator, or assign it here if this instance is that."""
-        link = self.fleet.home(submission.job.service)
+        link = self.fleet.coordinator(submission.job.service)
         if link is not None:
             self.send_to(submission, link, lent=False)
         else:
@@ -110,7 +110,9 @@
     def run_or_lend(self, submission: Submission) -> None:
         """Run a stage of a service coordinated here, or lend it to another data centre."""
         job = submission.job
-        coordinators = self.fleet.places(job.service) if self.is_divided(job.service) else {}
+        coordinators = (
+            self.fleet.coordinator_links(job.service) if self.is_divided(job.service) else {}
+        )
         target = self.lending_target(job, coordinators)
         if target:
             self.batcher(job.service).demand.record_arrival(job)
@@ -199,7 +201,7 @@
 
     def send_or_apply(self, message: StageNotice | StageRelease, apply: Callable[[], None]) -> None:
         """Send a message to its service's coordinator; call apply if that is this instance."""
-        link = self.fleet.home(message.service)
+        link = self.fleet.coordinator(message.service)
         if link is None:
             apply()
         else:
--- a/packages/core/src/mountladder/membership/linkkeeper.py
+++ b/packages/core/src/mountladder/membership/linkmanager.py
@@ -1,8 +1,8 @@
-# linkkeeper.py -- Links to the other instances
+# linkmanager.py -- Keeps links to the other instances open and dispatches their messages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Links to the other instances."""
+"""Keeps links to the other instances open and dispatches their messages."""
 
 from __future__ import annotations
 
@@ -24,33 +24,37 @@
 from mountladder.metrics.metric import Metric
 from mountladder.metrics.metrics import Metrics
 
-REDIAL_MS = 250.0
-LONGEST_REDIAL_MS = 2_000.0
-TARGETS_MS = 500.0
+MIN_REDIAL_MS = 250.0
+MAX_REDIAL_MS = 2_000.0
+TARGETS_POLL_MS = 500.0
 Kind = TypeVar("Kind")
 
 
-class LinkKeeper(ABC):
-    """Keeps a link to each instance that this one talks to, and serves theirs.
+class LinkManager(ABC):
+    """Keeps a link to each target instance open, serves links from peers, dispatches messages.
+
+    Heartbeats are sent over the links that this instance has opened; peers reply on the same link.
 
     Args:
-        membership: Which instances there are.
+        membership: The known instances.
         network: Opens links.
         clock: The clock.
         metrics: Where bytes and errors are counted.
-        seeds: Addresses of instances to start from.
+        seeds: Addresses of instances to connect to while no other is known.
 
     Attributes:
-        links: The links this instance opened, by the peer's address.
-        leaving: Whether this instance is about to end.
-        answered: Whether peers answer heartbeats on the same link, so that silence tells something.
-        on_reached: Called with each link that this instance has opened.
+        links: The links that this instance has opened, by the peer's address.
+        leaving: Whether this instance is shutting down.
+        expects_replies: Whether peers reply to heartbeats on the same link, so that a silent link
+            is broken.
+        on_link_opened: Called with each link that this instance has opened.
         on_link_lost: Called with the address of a peer whose link broke or fell silent.
-        subscribers: Who takes messages of each kind that is not the keeper's own.
-        greeters: Called with each link that a peer has opened, to tell it what is known here.
+        subscribers: The handlers of message types that `handle` does not handle itself.
+        accept_listeners: Called with each link that a peer has opened, to send it the current
+            state.
     """
 
-    answered = False
+    expects_replies = False
 
     def __init__(
         self,
@@ -67,34 +71,34 @@
         self.seeds = tuple(seed for seed in seeds if seed != membership.me.peer)
         self.links: dict[str, Link] = {}
         self.dialers: dict[str, gevent.Greenlet] = {}
-        self.knocks: dict[str, Event] = {}
+        self.redial_events: dict[str, Event] = {}
         self.retarget = Event()
         self.leaving = False
-        self.on_reached: Callable[[Link], None] = lambda link: None
+        self.on_link_opened: Callable[[Link], None] = lambda link: None
         self.on_link_lost: Callable[[str], None] = lambda address: None
         self.subscribers: dict[type, Callable[[Any, Link], None]] = {}
-        self.greeters: list[Callable[[Link], None]] = []
+        self.accept_listeners: list[Callable[[Link], None]] = []
         self.bytes = 0
         self.messages = 0
 
     def run(self) -> None:
-        """Keep one dialling task for each instance that this one talks to, for ever."""
+        """Keep one dialling greenlet for each target, forever."""
         while True:
-            self.follow_targets()
+            self.update_dialers()
             self.metrics.gauge(Metric.PEERS, len(self.membership.live()) - 1)
-            self.clock.wait(self.retarget, TARGETS_MS)
+            self.clock.wait(self.retarget, TARGETS_POLL_MS)
             self.retarget.clear()
 
-    def knock(self, address: str) -> None:
-        """Dial a peer at once that has just shown that it is there."""
-        waiting = self.knocks.get(address)
+    def redial_now(self, address: str) -> None:
+        """Dial a peer at once that has just connected to this instance."""
+        waiting = self.redial_events.get(address)
         if waiting is not None:
             waiting.set()
         else:
             self.retarget.set()
 
-    def follow_targets(self) -> None:
-        """Start and end dialling tasks as the targets change."""
+    def update_dialers(self) -> None:
+        """Start and stop dialling greenlets as the targets change."""
         targets = [one.peer for one in self.targets() if one.peer]
         wanted = set(targets) | (set() if targets else set(self.seeds))
         for address in wanted - set(self.dialers):
@@ -103,7 +107,7 @@
             self.dialers.pop(address).kill(block=False)
 
     def targets(self) -> list[Instance]:
-        """Return the instances to keep a link to."""
+        """Return the instances to keep links to."""
         return self.membership.targets()
 
     def interval_ms(self, address: str) -> float:
@@ -111,39 +115,43 @@
         return self.membership.interval_ms
 
     def dial(self, address: str) -> None:
-        """Keep a link to an address open, for ever; pause longer where nobody answers."""
-        pause_ms = REDIAL_MS
+        """Keep a link to an address open, forever; back off while it cannot be reached."""
+        pause_ms = MIN_REDIAL_MS
         while True:
             opened = self.clock.now()
             try:
-                self.talk(address)
+                self.run_link(address)
             except PeerError as error:
                 self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
-            if self.clock.now() - opened > LONGEST_REDIAL_MS:
-                pause_ms = REDIAL_MS
-            knocked = self.knocks[address] = Event()
-            if self.clock.wait(knocked, pause_ms):
-                pause_ms = REDIAL_MS
-            pause_ms = min(LONGEST_REDIAL_MS, 2 * pause_ms)
-
-    def talk(self, address: str) -> None:
-        """Open a link, and send heartbeats until it breaks."""
+            if self.clock.now() - opened > MAX_REDIAL_MS:
+                pause_ms = MIN_REDIAL_MS
+            redial = self.redial_events[address] = Event()
+            if self.clock.wait(redial, pause_ms):
+                pause_ms = MIN_REDIAL_MS
+            pause_ms = min(MAX_REDIAL_MS, 2 * pause_ms)
+
+    def run_link(self, address: str) -> None:
+        """Open a link, and send heartbeats over it until it breaks.
+
+        Raises:
+            PeerError: The link could not be opened, broke or fell silent.
+        """
         link = self.network.connect(address, self.membership.me)
         reader = None
         broken = Event()
         try:
             peer = link.handshake()
-            self.membership.hear(peer)
-            link.heard_at = self.clock.now()
+            self.membership.mark_alive(peer)
+            link.received_at = self.clock.now()
             self.links[address] = link
             log_message("peer-reached", peer=peer.name, address=address)
-            self.on_reached(link)
+            self.on_link_opened(link)
             reader = gevent.spawn(self.read_all, link)
             reader.link(lambda _: broken.set())
             while not broken.is_set():
                 self.send(link, self.heartbeat())
                 self.clock.wait(broken, self.interval_ms(address))
-                self.check_heard(link)
+                self.check_silence(link)
         finally:
             if self.links.pop(address, None) is not None:
                 log_message("peer-lost", address=address)
@@ -153,30 +161,29 @@
                 reader.kill()
 
     def is_answering(self, link: Link) -> bool:
-        """Tell whether anything came over a link within the last heartbeats.
+        """Return whether anything arrived over a link within the last heartbeat intervals.
 
-        A peer that is heard over other links may be cut off on this one, which may be silent for
-        good without a reset.
+        A link may stay silent for good without a reset, even if its peer sends over other links.
         """
         limit_ms = MISSED_HEARTBEATS * self.interval_ms(link.peer.peer)
-        return self.clock.now() - link.heard_at <= limit_ms
+        return self.clock.now() - link.received_at <= limit_ms
 
-    def check_heard(self, link: Link) -> None:
-        """Give up a link whose other end has been silent for too long.
+    def check_silence(self, link: Link) -> None:
+        """Fail if a link has been silent for too long.
 
         Raises:
-            PeerError: Nothing came over it within the last heartbeats.
+            PeerError: Nothing arrived over it within the last heartbeat intervals.
         """
-        if self.answered and not self.is_answering(link):
-            raise PeerError(f"{link.peer.name} is silent")
+        if self.expects_replies and not self.is_answering(link):
+            raise PeerError(f"the link to {link.peer.name} is silent")
 
     def serve(self, link: Link) -> None:
         """Serve a link that a peer opened, until it breaks."""
         try:
             peer = link.handshake()
-            self.membership.hear(peer)
-            self.knock(peer.peer)
-            self.greet(link)
+            self.membership.mark_alive(peer)
+            self.redial_now(peer.peer)
+            self.send_first_messages(link)
             self.read_all(link)
         except PeerError as error:
             self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
@@ -184,88 +191,93 @@
             link.close()
 
     def read_all(self, link: Link) -> None:
-        """Take in messages until the link breaks."""
+        """Handle messages until the link breaks."""
         try:
             while True:
                 message = link.receive()
-                link.heard_at = self.clock.now()
+                link.received_at = self.clock.now()
                 self.handle(message, link)
         except MountladderError as error:
             self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
 
     def send(self, link: Link, message: Message) -> None:
-        """Send a message and count its bytes."""
+        """Send a message and count its bytes.
+
+        Raises:
+            PeerError: The link is broken.
+        """
         size = link.send(message)
         self.bytes += size
         self.messages += 1
         self.metrics.count(Metric.PEER_BYTES, number=size)
 
     def subscribe(self, kind: type[Kind], take: Callable[[Kind, Link], None]) -> None:
-        """Have messages of one kind handed to a function, with the link they came over."""
+        """Register the handler of a message type; it gets the message and its link."""
         self.subscribers[kind] = take
 
-    def hand_over(self, message: Message, link: Link) -> None:
-        """Hand a message to who has subscribed to its kind.
+    def dispatch(self, message: Message, link: Link) -> None:
+        """Pass a message to the subscriber of its type.
 
         Raises:
-            PeerError: Nobody has.
+            PeerError: The type has no subscriber.
         """
         take = self.subscribers.get(type(message))
         if take is None:
-            raise PeerError(f"no message is handled like {message!r}")
+            raise PeerError(f"messages like {message!r} have no handler")
         take(message, link)
 
-    def greet(self, link: Link) -> None:
+    def send_first_messages(self, link: Link) -> None:
         """Send the first messages to a peer that has just connected."""
-        self.send(link, self.greeting())
-        for greeter in self.greeters:
-            greeter(link)
+        self.send(link, self.first_message())
+        for listener in self.accept_listeners:
+            listener(link)
 
-    def greeting(self) -> Message:
+    def first_message(self) -> Message:
         """Return the first message to a peer that has just connected."""
         return self.heartbeat()
 
     @abstractmethod
     def heartbeat(self) -> Message:
-        """Return this instance's sign of life."""
+        """Return this instance's heartbeat."""
 
     @abstractmethod
     def handle(self, message: Message, link: Link) -> None:
-        """Take in a message."""
+        """Handle a message from a link."""
 
     def send_later(self, link: Link, message: Message) -> None:
-        """Send a message from a task of its own, so that the caller does not wait."""
+        """Send a message from a new greenlet, so that the caller does not block."""
         gevent.spawn(self.try_send, link, message)
 
-    def links_for_news(self, source: str) -> list[Link]:
-        """Return the links over which news is told, or passed on, at once.
+    def broadcast_links(self, source: str) -> list[Link]:
+        """Return the links to broadcast or forward new entries over.
 
         Args:
-            source: The name of the peer that told it, or an empty string where it was seen here.
+            source: The name of the peer that sent them, or an empty string for those of this
+                instance.
         """
         sender = self.membership.known.get(source)
         here = self.membership.me.datacentre
-        # A neighbour has told all others of this data centre itself.
-        told_near = sender is not None and sender.datacentre == here
+        # A peer of this data centre has sent them to all others of it itself.
+        sent_locally = sender is not None and sender.datacentre == here
         return [
             link
             for link in self.links.values()
-            if link.peer.name != source and not (told_near and link.peer.datacentre == here)
+            if link.peer.name != source and not (sent_locally and link.peer.datacentre == here)
         ]
 
     def try_send(self, link: Link, message: Message) -> None:
-        """Send a message where the link still holds; its own tasks notice where it does not."""
+        """Send a message; a broken link is only counted, since its own greenlets handle it."""
         try:
             self.send(link, message)
         except PeerError as error:
             self.metrics.count(Metric.PEER_ERRORS, error.code.name.lower())
 
-    def tell_all(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to every peer at once."""
         for link in list(self.links.values()):
             gevent.spawn(self.try_send, link, self.heartbeat())
 
     def close(self) -> None:
-        """End every dialling task."""
+        """Stop all dialling greenlets."""
         for dialer in self.dialers.values():
             dialer.kill()
--- a/packages/core/src/mountladder/membership/peers.py
+++ b/packages/core/src/mountladder/membership/peers.py
@@ -1,8 +1,8 @@
-# peers.py -- Messages with the other instances
+# peers.py -- Exchanges configuration, writes and heartbeats with the other instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Messages with the other instances."""
+"""Exchanges configuration, writes and heartbeats with the other instances."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from mountladder.configuration.configuration import Configuration
 from mountladder.configuration.follower import Follower
 from mountladder.errors import BadRowError, PeerError
-from mountladder.membership.ask import Ask
 from mountladder.membership.changes import Changes
+from mountladder.membership.changesrequest import ChangesRequest
 from mountladder.membership.heartbeat import Heartbeat
 from mountladder.membership.hello import Hello
 from mountladder.membership.instance import Instance
 from mountladder.membership.link import Link
-from mountladder.membership.linkkeeper import LinkKeeper
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.membership.membership import Membership
 from mountladder.membership.network import Network
 from mountladder.membership.snapshot import Snapshot
@@ -32,24 +32,24 @@
 from mountladder.membership.wire import Message
 from mountladder.metrics.metrics import Metrics
 
-LEAVING_SHOWN_MS = 10_000.0
+LEAVING_REPORT_MS = 10_000.0
 
 
-class Peers(LinkKeeper):
-    """Keeps a link to each peer, tells them what is new and takes in what they tell.
+class Peers(LinkManager):
+    """Exchanges configuration changes, delegated writes and heartbeats with the other instances.
 
     Args:
-        membership: Which instances there are.
+        membership: The known instances.
         follower: The configuration in force.
         network: Opens links.
         clock: The clock.
         metrics: Where bytes and errors are counted.
-        seeds: Addresses of instances to start from.
+        seeds: Addresses of instances to connect to while no other is known.
 
     Attributes:
         on_submit: Commits a write for a peer and returns the reply.
-        on_submitted: Takes the reply to a write that a peer committed.
-        on_leaving_server: Takes the name of a backend server that a peer says is leaving.
+        on_submitted: Called with a peer's reply to a write that it was asked to commit.
+        on_leaving_server: Called with the name of a backend server that a peer reports as leaving.
     """
 
     def __init__(
@@ -68,60 +68,62 @@
         self.on_submit: Callable[[Submit], Submitted] | None = None
         self.on_submitted: Callable[[Submitted], None] = lambda submitted: None
         self.on_leaving_server: Callable[[str], None] = lambda name: None
-        follower.listeners.append(self.push)
+        follower.listeners.append(self.forward)
 
     def heartbeat(self) -> Heartbeat:
-        """Return this instance's sign of life."""
+        """Return a heartbeat with this instance's revision and its age."""
         now = self.clock.now()
-        shown = [name for name, at in self.leaving_servers.items() if now - at < LEAVING_SHOWN_MS]
+        reported = [
+            name for name, at in self.leaving_servers.items() if now - at < LEAVING_REPORT_MS
+        ]
         age = self.follower.age_ms()
         age_ms = int(age) if age != float("inf") else 2**32 - 1
         revision = self.follower.configuration.revision
-        return Heartbeat(revision, age_ms, self.leaving, tuple(shown))
+        return Heartbeat(revision, age_ms, self.leaving, tuple(reported))
 
-    def push(self, changes: Sequence[Change]) -> None:
-        """Send new changes on, to those who will not get them from where they came from.
+    def forward(self, changes: Sequence[Change]) -> None:
+        """Forward new changes to the peers that do not get them from their source.
 
-        What came from a peer of this data centre goes to other data centres only, since that peer
-        told its neighbours itself.
+        Changes from a peer of this data centre go to other data centres only, since that peer has
+        sent them to its neighbours itself.
         """
         message = Changes(tuple(change.encode() for change in changes))
         here = self.membership.me.datacentre
-        told_neighbours = self.source is not None and self.source.datacentre == here
+        sent_locally = self.source is not None and self.source.datacentre == here
         for link in list(self.links.values()):
-            if told_neighbours and link.peer.datacentre == here:
+            if sent_locally and link.peer.datacentre == here:
                 continue
             gevent.spawn(self.try_send, link, message)
 
-    def server_leaving(self, name: str) -> None:
-        """Tell every peer of a backend server that said it is leaving."""
+    def report_leaving_server(self, name: str) -> None:
+        """Report a backend server that announced that it is leaving to every peer."""
         fresh = name not in self.leaving_servers
         self.leaving_servers[name] = self.clock.now()
         if fresh:
-            self.tell_all()
+            self.send_heartbeats()
 
     @singledispatchmethod
     def handle(self, message: Message, link: Link) -> None:
-        """Take in a message, or hand it to who has subscribed to its kind."""
-        self.hand_over(message, link)
+        """Handle a message; types not handled here go to their subscribers."""
+        self.dispatch(message, link)
 
     @handle.register
     def _(self, message: Hello, link: Link) -> None:
-        raise PeerError("a second greeting")
+        raise PeerError("a hello message after the handshake")
 
     @handle.register
     def _(self, message: Heartbeat, link: Link) -> None:
-        self.membership.hear(link.peer, message.leaving)
+        self.membership.mark_alive(link.peer, message.leaving)
         for name in message.leaving_servers:
             self.on_leaving_server(name)
         own = self.follower.configuration.revision
         if message.revision > own:
-            self.send(link, Ask(own))
+            self.send(link, ChangesRequest(own))
         elif message.revision == own and message.age_ms < 2**32 - 1:
             self.follower.confirm(self.clock.now() - message.age_ms)
 
     @handle.register
-    def _(self, message: Ask, link: Link) -> None:
+    def _(self, message: ChangesRequest, link: Link) -> None:
         changes = self.follower.since(message.revision)
         if changes is None:
             self.send(link, Snapshot(self.follower.configuration.encode()))
@@ -137,7 +139,7 @@
         finally:
             self.source = None
         if changes and changes[-1].revision > self.follower.configuration.revision:
-            self.send(link, Ask(self.follower.configuration.revision))
+            self.send(link, ChangesRequest(self.follower.configuration.revision))
 
     @handle.register
     def _(self, message: Snapshot, link: Link) -> None:
--- a/packages/core/src/mountladder/membership/tcplink.py
+++ b/packages/core/src/mountladder/membership/tcplink.py
@@ -23,9 +23,9 @@
 
 NONCE_BYTES = 16
 PROOF_BYTES = 32
-SEAL_BYTES = 8
-MOST_HELLO_BYTES = 2_048
-MOST_MESSAGE_BYTES = 16 * 1024 * 1024
+MAC_BYTES = 8
+MAX_HELLO_BYTES = 2_048
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 HANDSHAKE_SECONDS = 3.0
 _HEAD = struct.Struct(">I8s")
 _SIZE = struct.Struct(">I")
@@ -34,9 +34,9 @@
 class TcpLink(Link):
     """Sends and receives messages over one TCP connection.
 
-    Both ends prove that they have the fleet's key by sealing the other's nonce; after that each
-    message carries a seal over a running number, so that none can be changed, repeated or left
-    out unseen.
+    Both ends prove that they have the fleet's key with an HMAC over the other's nonce. After that
+    each message carries a MAC that covers a sequence number, so that messages that were changed,
+    replayed or dropped are detected.
 
     Args:
         connection: The connected socket, which the link owns.
@@ -60,24 +60,24 @@
         self.receive_key = b""
 
     def handshake(self) -> Instance:
-        """Exchange greetings and proofs; return the instance at the other end.
+        """Exchange hello messages and proofs; return the instance at the other end.
 
         Raises:
-            PeerError: The peer speaks another version or does not have the key.
+            PeerError: The peer speaks another protocol version or does not have the key.
         """
         self.connection.settimeout(HANDSHAKE_SECONDS)
         nonce = os.urandom(NONCE_BYTES)
-        greeting = encode(Hello(VERSION, self.me, nonce))
-        self.write(_SIZE.pack(len(greeting)) + greeting)
-        received = self.read_sized(MOST_HELLO_BYTES)
+        own_hello = encode(Hello(VERSION, self.me, nonce))
+        self.write(_SIZE.pack(len(own_hello)) + own_hello)
+        received = self.read_sized(MAX_HELLO_BYTES)
         hello = decode(received)
         if not isinstance(hello, Hello):
-            raise PeerError("a greeting was expected", Code.BAD_MESSAGE)
+            raise PeerError("the first message is not a hello", Code.BAD_MESSAGE)
         if hello.version != VERSION:
-            raise PeerError(f"version {hello.version}, not {VERSION}", Code.PEER_VERSION)
+            raise PeerError(f"protocol version {hello.version}, not {VERSION}", Code.PEER_VERSION)
         if hello.instance.incarnation == self.me.incarnation:
-            raise PeerError("this instance reached itself", Code.PEER_REFUSED)
-        self.write(self.proof(hello.nonce, greeting))
+            raise PeerError("an instance connected to itself", Code.PEER_REFUSED)
+        self.write(self.proof(hello.nonce, own_hello))
         if not hmac.compare_digest(self.read(PROOF_BYTES), self.proof(nonce, received)):
             raise PeerError("", Code.PEER_REFUSED)
         self.send_key = self.proof(hello.nonce + nonce, b"session")
@@ -87,7 +87,7 @@
         return hello.instance
 
     def proof(self, nonce: bytes, text: bytes) -> bytes:
-        """Return a proof that covers a nonce and a text."""
+        """Return the HMAC of a nonce and a text under the fleet's key."""
         return hmac.new(self.secret, nonce + text, hashlib.sha256).digest()
 
     def send(self, message: Message) -> int:
@@ -98,36 +98,46 @@
         """
         data = encode(message)
         with self.lock:
-            seal = _seal(self.send_key, self.sent_messages, data)
+            mac = _mac(self.send_key, self.sent_messages, data)
             self.sent_messages += 1
-            self.write(_HEAD.pack(len(data), seal) + data)
+            self.write(_HEAD.pack(len(data), mac) + data)
         return len(data) + _HEAD.size
 
     def receive(self) -> Message:
         """Return the next message.
 
         Raises:
-            PeerError: The connection is broken or the message is not genuine.
+            PeerError: The connection is broken or the message fails authentication.
         """
-        size, seal = _HEAD.unpack(self.read(_HEAD.size))
-        if size > MOST_MESSAGE_BYTES:
-            raise PeerError(f"a message of {size} bytes", Code.BAD_MESSAGE)
+        size, mac = _HEAD.unpack(self.read(_HEAD.size))
+        if size > MAX_MESSAGE_BYTES:
+            raise PeerError(
+                f"a message of {size} bytes exceeds {MAX_MESSAGE_BYTES}", Code.BAD_MESSAGE
+            )
         data = self.read(size)
-        expected = _seal(self.receive_key, self.received_messages, data)
+        expected = _mac(self.receive_key, self.received_messages, data)
         self.received_messages += 1
-        if not hmac.compare_digest(seal, expected):
-            raise PeerError("a message's seal is wrong", Code.BAD_MESSAGE)
+        if not hmac.compare_digest(mac, expected):
+            raise PeerError("the MAC of a message does not match", Code.BAD_MESSAGE)
         return decode(data)
 
-    def read_sized(self, most: int) -> bytes:
-        """Read bytes that are preceded by their number."""
+    def read_sized(self, limit: int) -> bytes:
+        """Read a length-prefixed byte string.
+
+        Raises:
+            PeerError: The connection is broken or the length exceeds the limit.
+        """
         (size,) = _SIZE.unpack(self.read(_SIZE.size))
-        if size > most:
-            raise PeerError(f"a greeting of {size} bytes", Code.BAD_MESSAGE)
+        if size > limit:
+            raise PeerError(f"a hello message of {size} bytes exceeds {limit}", Code.BAD_MESSAGE)
         return self.read(size)
 
     def write(self, data: bytes) -> None:
-        """Write bytes."""
+        """Write bytes.
+
+        Raises:
+            PeerError: The connection is broken.
+        """
         try:
             self.connection.sendall(data)
         except OSError as error:
@@ -135,7 +145,11 @@
         self.sent_bytes += len(data)
 
     def read(self, size: int) -> bytes:
-        """Read an exact number of bytes."""
+        """Read an exact number of bytes.
+
+        Raises:
+            PeerError: The connection is broken.
+        """
         pieces: list[bytes] = []
         missing = size
         while missing:
@@ -154,6 +168,6 @@
         self.connection.close()
 
 
-def _seal(key: bytes, number: int, data: bytes) -> bytes:
-    seal = hashlib.blake2b(data, digest_size=SEAL_BYTES, key=key, salt=number.to_bytes(16, "big"))
-    return seal.digest()
+def _mac(key: bytes, number: int, data: bytes) -> bytes:
+    mac = hashlib.blake2b(data, digest_size=MAC_BYTES, key=key, salt=number.to_bytes(16, "big"))
+    return mac.digest()
--- a/packages/core/src/mountladder/membership/wire.py
+++ b/packages/core/src/mountladder/membership/wire.py
@@ -1,8 +1,8 @@
-# wire.py -- Encoding of messages between instances
+# wire.py -- Encodes and decodes messages between instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Encoding of messages between instances."""
+"""Encodes and decodes messages between instances."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from mountladder.forwarding.stageoutcome import StageOutcome
 from mountladder.forwarding.stagerelease import StageRelease
 from mountladder.forwarding.stagewithdrawal import StageWithdrawal
-from mountladder.forwarding.want import Want
-from mountladder.membership.ask import Ask
+from mountladder.forwarding.updaterequest import UpdateRequest
 from mountladder.membership.changes import Changes
+from mountladder.membership.changesrequest import ChangesRequest
 from mountladder.membership.heartbeat import Heartbeat
 from mountladder.membership.hello import Hello
 from mountladder.membership.snapshot import Snapshot
@@ -38,21 +38,28 @@
 from mountladder.quarantine.suspicions import Suspicions
 
 VERSION = 8
-Configuring = Hello | Heartbeat | Ask | Changes | Snapshot | Submit | Submitted
-Forwarding = Beacon | Want | CatalogueSlice | DirectoryCopy | MemberList
-Stages = StageOrder | StageOutcome | StageWithdrawal | StageRelease | StageNotice
-Placing = PlacementOrder | PlacementReply | PlacementNote
-Message = Configuring | Forwarding | Stages | Placing | Suspicions | ServerNotices
+ConfigurationMessage = Hello | Heartbeat | ChangesRequest | Changes | Snapshot | Submit | Submitted
+StateMessage = Beacon | UpdateRequest | CatalogueSlice | DirectoryCopy | MemberList
+StageMessage = StageOrder | StageOutcome | StageWithdrawal | StageRelease | StageNotice
+PlacementMessage = PlacementOrder | PlacementReply | PlacementNote
+Message = (
+    ConfigurationMessage
+    | StateMessage
+    | StageMessage
+    | PlacementMessage
+    | Suspicions
+    | ServerNotices
+)
 
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(Path(__file__).with_name("wire.capnp")))
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as bytes.
+    """Encode a message as an unpacked Cap'n Proto frame.
 
-    They are not packed: what is large is compressed already, where packing adds bytes, and the
-    library's writer of packed messages ended processes on such a message.
+    Frames are not packed: large payloads are compressed already, so that packing adds bytes, and
+    the library's writer of packed messages crashed the process on such a message.
     """
     frame = _SCHEMA.Frame.new_message()
     fill(message, frame)
@@ -60,14 +67,14 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read a message.
+    """Decode a message.
 
     Raises:
-        PeerError: The bytes are no message.
+        PeerError: The bytes are not a valid message.
     """
     try:
         with _SCHEMA.Frame.from_bytes(data) as frame:
             which = str(frame.which())
             return READERS[which](getattr(frame, which))
     except (capnp.KjException, ValueError, KeyError, IndexError, UnicodeError) as error:
-        raise PeerError(f"a message cannot be read: {error}", Code.BAD_MESSAGE) from error
+        raise PeerError(f"a message cannot be decoded: {error}", Code.BAD_MESSAGE) from error
--- a/packages/core/src/mountladder/notices/noticedispatcher.py
+++ b/packages/core/src/mountladder/notices/noticedispatcher.py
@@ -14,7 +14,7 @@
 from mountladder.clocks.clock import Clock
 from mountladder.configuration.backendserver import BackendServer
 from mountladder.forwarding.directory import Directory
-from mountladder.membership.linkkeeper import LinkKeeper
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.metrics.metrics import Metrics
 from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
@@ -29,7 +29,7 @@
     """Passes each notice in an answer to the component that acts on it.
 
     Args:
-        keeper: Maintains the links to the other instances.
+        link_manager: Maintains the links to the other instances.
         directory: Lists the backend servers and which of them are in use.
         router: Backs off from servers that ask this instance to.
         clock: The clock.
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        keeper: LinkKeeper,
+        link_manager: LinkManager,
         directory: Directory,
         router: Router,
         clock: Clock,
@@ -50,9 +50,9 @@
         self.router = router
         self.registry = NoticeRegistry(clock, metrics)
         self.registry.listed = directory.names
-        self.registry.on_leaving = directory.renew
+        self.registry.on_leaving = directory.rebuild
         directory.leaving_since = self.registry.leaving_since
-        self.exchange = NoticeExchange(keeper, self.registry, clock)
+        self.exchange = NoticeExchange(link_manager, self.registry, clock)
 
     def dispatch(self, server: BackendServer, notices: Sequence[Notice], sent_at: float) -> None:
         """Process the notices in an answer.
--- a/packages/core/src/mountladder/quarantine/quarantineservice.py
+++ b/packages/core/src/mountladder/quarantine/quarantineservice.py
@@ -10,7 +10,7 @@
 
 from mountladder.clocks.clock import Clock
 from mountladder.configuration.backendserver import BackendServer
-from mountladder.membership.linkkeeper import LinkKeeper
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.metrics.metrics import Metrics
 from mountladder.quarantine.crashdetector import CrashDetector
 from mountladder.quarantine.fingerprint import fingerprint
@@ -26,7 +26,7 @@
     Args:
         refuses: Returns whether connections to a server's address are refused.
         listing: Shows planned shutdowns and restarts of servers.
-        keeper: Keeps the links to the other instances.
+        link_manager: Keeps the links to the other instances.
         secret: Returns the key that all instances share, for fingerprints.
         clock: The clock.
         metrics: Receives the metrics.
@@ -36,7 +36,7 @@
         self,
         refuses: Callable[[BackendServer], bool],
         listing: ServerListing,
-        keeper: LinkKeeper,
+        link_manager: LinkManager,
         secret: Callable[[], str],
         clock: Clock,
         metrics: Metrics,
@@ -46,7 +46,7 @@
         self.registry = Quarantine(clock, metrics)
         self.detector = CrashDetector(refuses, listing, clock)
         self.detector.on_crashed = self.registry.handle_crash
-        self.exchange = SuspicionExchange(keeper, self.registry, clock)
+        self.exchange = SuspicionExchange(link_manager, self.registry, clock)
 
     def track(self, request: str, texts: Sequence[str], body: bytes) -> TrackedAttempt:
         """Return an attempt at a request that is tracked by the quarantine.
--- a/packages/core/src/mountladder/quarantine/suspicionexchange.py
+++ b/packages/core/src/mountladder/quarantine/suspicionexchange.py
@@ -9,35 +9,35 @@
 from collections.abc import Iterable, Sequence
 
 from mountladder.clocks.clock import Clock
-from mountladder.membership.linkkeeper import LinkKeeper
-from mountladder.membership.newsexchange import NewsExchange
+from mountladder.membership.gossip import Gossip
+from mountladder.membership.linkmanager import LinkManager
 from mountladder.quarantine.quarantine import Quarantine
 from mountladder.quarantine.suspicion import Suspicion
 from mountladder.quarantine.suspicions import Suspicions
 
 
-class SuspicionExchange(NewsExchange[Suspicion]):
+class SuspicionExchange(Gossip[Suspicion]):
     """Keeps the suspicions of all instances in sync.
 
     Args:
-        keeper: Keeps the links to the other instances.
+        link_manager: Keeps the links to the other instances.
         quarantine: The quarantine of this instance.
         clock: The clock.
     """
 
-    def __init__(self, keeper: LinkKeeper, quarantine: Quarantine, clock: Clock) -> None:
-        super().__init__(keeper, clock, Suspicions)
+    def __init__(self, link_manager: LinkManager, quarantine: Quarantine, clock: Clock) -> None:
+        super().__init__(link_manager, clock, Suspicions)
         self.quarantine = quarantine
-        quarantine.on_update = self.tell
+        quarantine.on_update = self.broadcast
 
     def known(self) -> Iterable[Suspicion]:
-        """Return all suspicions; see NewsExchange."""
+        """Return all suspicions; see Gossip."""
         return self.quarantine.suspicions.values()
 
     def as_ages(self, entry: Suspicion, now: float) -> Suspicion:
-        """Return a suspicion with times relative to now, as it is sent; see NewsExchange."""
+        """Return a suspicion with times relative to now, as it is sent; see Gossip."""
         return entry.shifted(-now)
 
-    def take_in(self, entries: Sequence[Suspicion], now: float, source: str) -> None:
-        """Merge received suspicions into the quarantine; see NewsExchange."""
+    def merge(self, entries: Sequence[Suspicion], now: float, source: str) -> None:
+        """Merge received suspicions into the quarantine; see Gossip."""
         self.quarantine.merge([suspicion.shifted(now) for suspicion in entries], source)
--- a/packages/core/src/mountladder/quarantine/suspicionpersister.py
+++ b/packages/core/src/mountladder/quarantine/suspicionpersister.py
@@ -13,7 +13,7 @@
 
 from mountladder.clocks.clock import Clock
 from mountladder.errors import StoreAmbiguousError, StoreUnavailableError
-from mountladder.forwarding.readers import Readers
+from mountladder.forwarding.readerelection import ReaderElection
 from mountladder.quarantine.quarantine import Quarantine
 from mountladder.quarantine.suspicion import Suspicion
 from mountladder.quarantine.suspicionstore import SuspicionStore
@@ -38,7 +38,7 @@
     Args:
         store: The platform's table of suspicions.
         quarantine: The quarantine of this instance.
-        readers: Knows which instance reads the store.
+        reader_election: Knows which instance reads the store.
         clock: The clock.
 
     Attributes:
@@ -48,11 +48,15 @@
     """
 
     def __init__(
-        self, store: SuspicionStore, quarantine: Quarantine, readers: Readers, clock: Clock
+        self,
+        store: SuspicionStore,
+        quarantine: Quarantine,
+        reader_election: ReaderElection,
+        clock: Clock,
     ) -> None:
         self.store = store
         self.quarantine = quarantine
-        self.readers = readers
+        self.reader_election = reader_election
         self.clock = clock
         self.pending: OrderedDict[str, Suspicion | None] = OrderedDict()
         self.stored_bars: dict[str, int] = {}
@@ -66,7 +70,7 @@
         """Queue a bar to be written, if this instance has to write it."""
         if self.stored_bars.get(suspicion.fingerprint, 0) >= suspicion.bars:
             return
-        if seen_here or self.readers.reading:
+        if seen_here or self.reader_election.reading:
             self.pending[suspicion.fingerprint] = suspicion
             self.wake.set()
 
@@ -98,9 +102,9 @@
 
     def run(self) -> None:
         """Load the rows if this instance reads the store, then write queued changes for ever."""
-        while not self.readers.reading and not self.readers.has_fed_peer():
+        while not self.reader_election.reading and not self.reader_election.has_live_reader():
             self.clock.sleep(POLL_MS)
-        while self.readers.reading and not self.read():
+        while self.reader_election.reading and not self.read():
             self.clock.sleep(RETRY_MS)
         while True:
             self.wake.wait()
--- a/packages/core/src/mountladder/serverlimits/serverlimits.py
+++ b/packages/core/src/mountladder/serverlimits/serverlimits.py
@@ -69,7 +69,7 @@
         limited = self.limited(servers)
         if not limited:
             return {}
-        now, fraction = self.clock.now(), self.leadership.part(topic)
+        now, fraction = self.clock.now(), self.leadership.fraction(topic)
         return {name: self.bucket_of(name, fraction, now).wait_ms(now) for name in limited}
 
     def wait_ms(self, server: BackendServer, topic: str) -> float:
@@ -104,7 +104,7 @@
         if self.registry.per_s(server.name) == UNLIMITED:
             self.buckets.pop(server.name, None)
             return None
-        return self.bucket_of(server.name, self.leadership.part(topic), self.clock.now())
+        return self.bucket_of(server.name, self.leadership.fraction(topic), self.clock.now())
 
     def bucket_of(self, name: str, fraction: float, now: float) -> TokenBucket:
         """Return the token bucket of a rate-limited server, with its present rate.
