--- a/packages/entry/src/mountladder_entry/__init__.py
+++ b/packages/entry/src/mountladder_entry/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- The entry instance of mountladder
+# __init__.py -- The entry instance: its process and HTTP interfaces
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The entry instance of mountladder."""
+"""The entry instance: its process and HTTP interfaces."""
--- a/packages/entry/src/mountladder_entry/application.py
+++ b/packages/entry/src/mountladder_entry/application.py
@@ -1,8 +1,8 @@
-# application.py -- The HTTP interface of an instance
+# application.py -- The WSGI application of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The HTTP interface of an instance."""
+"""The WSGI application of an instance."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _fault(error: bottle.HTTPError) -> bytes:
-    """Return a problem document for a fault of the web library's or of our own."""
+    """Return a problem document for an error of Bottle or of a route's handler."""
     code = Code.INTERNAL
     if error.status_code in {404, 405}:
         code = Code.NOT_FOUND
--- a/packages/entry/src/mountladder_entry/bearer.py
+++ b/packages/entry/src/mountladder_entry/bearer.py
@@ -1,8 +1,8 @@
-# bearer.py -- What whoever asks an instance bears
+# bearer.py -- Checks the bearer token of a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What whoever asks an instance bears."""
+"""Checks the bearer token of a request."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 
 def bears(token: str) -> bool:
-    """Tell whether the request that is being answered bears a token; any does an empty one."""
+    """Return whether the current request carries a token; an empty token accepts every request."""
     sent = bottle.request.get_header("Authorization", "")
     return not token or hmac.compare_digest(sent.encode(), f"Bearer {token}".encode())
--- a/packages/entry/src/mountladder_entry/callerconnection.py
+++ b/packages/entry/src/mountladder_entry/callerconnection.py
@@ -1,8 +1,8 @@
-# callerconnection.py -- One connection of a caller, with limits
+# callerconnection.py -- A caller's connection, with limits on request heads
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One connection of a caller, with limits."""
+"""A caller's connection, with limits on request heads."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from mountladder.forwarding.callerlimits import CallerLimits
 
 MS_PER_SECOND = 1000.0
-# How long a caller that neither reads nor sends is waited for while a request is under way.
+# The socket's timeout during a request: a caller that neither reads nor sends is dropped after it.
 SILENCE_SECONDS = 30.0
 _LENGTH = re.compile(r"[0-9]{1,15}")
 
@@ -22,19 +22,19 @@
 class CallerConnection(WSGIHandler):
     """Serves one connection within the limits of the catalogue in force.
 
-    A head that is too long, too slow or could be read in two ways is refused before any
-    application sees it, and the connection is closed.
+    A head that is too long, too slow or ambiguous is refused before it reaches the application, and
+    the connection is closed.
 
     Attributes:
         limits: Returns the limits in force.
-        is_leaving: Tells whether the instance is about to end, so that connections are closed.
+        is_leaving: Returns whether the instance is shutting down, so that connections are closed.
     """
 
     limits: Callable[[], CallerLimits] = staticmethod(CallerLimits)
     is_leaving: Callable[[], bool] = staticmethod(lambda: False)
 
     def read_requestline(self) -> str:
-        """Wait for the next request as long as a connection may be idle."""
+        """Read the next request line, waiting at most as long as a connection may be idle."""
         limits = self.limits()
         self.socket.settimeout(limits.idle_ms / MS_PER_SECOND)
         line = super().read_requestline()
@@ -45,7 +45,7 @@
         """Read the head of a request.
 
         Raises:
-            ValueError: It is malformed.
+            ValueError: The head is malformed or too long.
         """
         started = self.rfile
         self.rfile = _Bounded(started, self.limits().header_bytes)
@@ -57,7 +57,7 @@
         return good
 
     def MessageClass(self, *args: object) -> object:  # noqa: N802 (the web server's name)
-        """Read the headers, and refuse those that do not say in one way where the body ends.
+        """Read the headers, and refuse those that give the length of the body ambiguously.
 
         Raises:
             ValueError: They are malformed.
@@ -66,13 +66,13 @@
         codings = headers.get_all("transfer-encoding") or []
         lengths = headers.get_all("content-length") or []
         if codings and (lengths or [one.strip().lower() for one in codings] != ["chunked"]):
-            raise ValueError("the length of the body is given in two ways")
+            raise ValueError("the length of the body is ambiguous")
         if len(lengths) > 1 or any(not _LENGTH.fullmatch(one.strip()) for one in lengths):
             raise ValueError("the length of the body is malformed")
         return headers
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
-        """Return the answer to a malformed head."""
+        """Return the answer to a malformed, slow or long head."""
         if isinstance(ex, TimeoutError):
             return "408", _closing("408 Request Timeout")
         if isinstance(ex, _HeadTooLongError):
@@ -85,13 +85,13 @@
         headers: list[tuple[str, str]],
         exc_info: object = None,
     ) -> Callable[[bytes], None]:
-        """Start an answer; tell the caller where the connection is closed behind it."""
+        """Start an answer, and announce in it if the connection is closed afterwards."""
         if self.is_leaving() or self.close_connection:
             headers = [*headers, ("Connection", "close")]
         return super().start_response(status, headers, exc_info)
 
     def get_environ(self) -> dict[str, object]:
-        """Return the environment of a request, with what the standard one lacks."""
+        """Return the WSGI environment with the raw target, the headers and the socket added."""
         environ = super().get_environ()
         environ["mountladder.target"] = self.path
         environ["mountladder.headers"] = self.headers.items()
@@ -104,7 +104,7 @@
 
 
 class _Bounded:
-    """Reads the lines of a head, up to a limit."""
+    """Reads the lines of a head, up to a limit in bytes."""
 
     def __init__(self, inner: object, most: int) -> None:
         self.inner = inner
@@ -118,7 +118,7 @@
         if self.left < 0:
             raise _HeadTooLongError("the head is too long")
         if not line.endswith(b"\n"):
-            raise ValueError("the head broke off")
+            raise ValueError("the head is incomplete")
         return line
 
 
--- a/packages/entry/src/mountladder_entry/callergone.py
+++ b/packages/entry/src/mountladder_entry/callergone.py
@@ -1,15 +1,15 @@
-# callergone.py -- The caller of a request went away
+# callergone.py -- The error that a caller closed its connection
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The caller of a request went away."""
+"""The error that a caller closed its connection."""
 
 from __future__ import annotations
 
 
 class CallerGoneError(BaseException):
-    """The caller closed its connection while its request was worked on.
+    """The caller closed its connection while its request was running.
 
-    It is raised in the task of the connection, wherever that waits. Like a task's own end it is no
-    Exception, so that code that handles broken connections to servers does not take it for one.
+    It is raised in the greenlet of the connection, wherever that waits. Like GreenletExit it is not
+    an Exception, so that handlers of failed connections to backend servers do not catch it.
     """
--- a/packages/entry/src/mountladder_entry/callers.py
+++ b/packages/entry/src/mountladder_entry/callers.py
@@ -33,7 +33,7 @@
 
 
 def keys(node: Node) -> dict[str, object]:
-    """Issue idempotency keys that only this instance will run."""
+    """Issue idempotency keys whose requests only this instance runs."""
     try:
         number = int(bottle.request.query.get("count", "1"))
         if not 1 <= number <= MOST_KEYS:
@@ -66,7 +66,7 @@
     """Read a request from its headers and body.
 
     Raises:
-        RefusalError: It is malformed or too large.
+        RefusalError: The request is malformed or too large.
     """
     arrived = node.clock.now()
     body = read_body(node.settings.most_body_bytes)
@@ -103,7 +103,7 @@
     """Read a body of bounded size.
 
     Raises:
-        RefusalError: It is too large.
+        RefusalError: The body is too large or incomplete.
     """
     length = bottle.request.content_length
     if length > most:
@@ -111,14 +111,14 @@
     try:
         body = bottle.request.environ["wsgi.input"].read(most + 1)
     except OSError as error:
-        raise RefusalError(f"the body broke off: {error}", Code.BAD_REQUEST) from error
+        raise RefusalError(f"the body is incomplete: {error}", Code.BAD_REQUEST) from error
     if len(body) > most:
         raise RefusalError(f"more than {most} bytes", Code.BODY_TOO_LARGE)
     return body
 
 
 def whole(reply: Reply) -> bytes:
-    """Return a whole answer as JSON."""
+    """Run a request to its end and return its answer as JSON."""
     bottle.response.content_type = "application/json"
     if reply.kept is not None:
         return reply.kept
@@ -128,9 +128,9 @@
 
 
 def stream(reply: Reply) -> Iterator[bytes]:
-    """Return an answer as server-sent events, with a final event that tells it is whole.
+    """Return an answer as server-sent events, with a final event that marks it as complete.
 
-    What fails before the first token is raised here, so that it gets an HTTP status of its own.
+    A failure before the first token is raised here, so that it is answered with an HTTP status.
     """
     if reply.kept is not None:
         bottle.response.content_type = EVENT_STREAM
@@ -157,7 +157,7 @@
 
 
 def relay(node: Node, reply: Reply) -> object:
-    """Answer with what the instance that issued the key answers."""
+    """Return the answer of the instance that issued the request's key."""
     if bottle.request.get_header(HOP_HEADER):
         raise RunError("", Code.KEY_HOME_GONE)
     relayed = node.relay.ask(reply.home, reply.request, bottle.request)
--- a/packages/entry/src/mountladder_entry/callerwatch.py
+++ b/packages/entry/src/mountladder_entry/callerwatch.py
@@ -1,8 +1,8 @@
-# callerwatch.py -- Noticing that a caller goes away
+# callerwatch.py -- Detects that a caller closes its connection
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Noticing that a caller goes away."""
+"""Detects that a caller closes its connection."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @contextmanager
 def caller_watch(socket: sockets.socket) -> Iterator[None]:
-    """Raise CallerGoneError in the calling task when the caller closes its connection.
+    """Raise CallerGoneError in the calling greenlet when the caller closes its connection.
 
-    Bytes of a next request end the watching, since they lie in front of whatever follows.
+    Bytes of a further request stop the watch: they hide a later close from peeking at the socket.
 
     Args:
         socket: The caller's connection, from which nothing else reads meanwhile.
@@ -32,12 +32,12 @@
     inside = True
 
     def throw() -> None:
-        """Raise the error where the block still runs."""
+        """Raise the error in the greenlet if the block still runs."""
         if inside:
             task.throw(CallerGoneError())
 
     def readable() -> None:
-        """Look whether the caller closed the connection."""
+        """Check whether the socket became readable because the caller closed it."""
         watcher.stop()
         if _is_closed(socket):
             loop.run_callback(throw)
--- a/packages/entry/src/mountladder_entry/connection.py
+++ b/packages/entry/src/mountladder_entry/connection.py
@@ -1,8 +1,8 @@
-# connection.py -- One connection of a caller
+# connection.py -- A caller's connection with a timeout
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One connection of a caller."""
+"""A caller's connection with a timeout."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 class Connection(WSGIHandler):
     """Serves one connection, and drops a caller that neither reads nor writes for long.
 
-    Without this a caller that stops reading a stream would hold its place here and its slot at
-    the backend server for ever.
+    Without the timeout a caller that stops reading a stream would occupy a connection here and a
+    slot of the backend server for ever.
 
     Attributes:
-        silence_seconds: How long a read or a write may take.
+        silence_seconds: The timeout of a read or a write.
     """
 
     silence_seconds = SILENCE_SECONDS
--- a/packages/entry/src/mountladder_entry/dialect.py
+++ b/packages/entry/src/mountladder_entry/dialect.py
@@ -1,8 +1,8 @@
-# dialect.py -- Differences between kinds of backend server
+# dialect.py -- The protocols of the kinds of backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Differences between kinds of backend server."""
+"""The protocols of the kinds of backend server."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 @singledispatch
 def names_attempts(dialect: object) -> bool:
-    """Tell whether every answer must carry the attempt's id."""
+    """Return whether every answer must carry the id of its attempt."""
     raise TypeError(f"unknown dialect {dialect!r}")
 
 
 @singledispatch
 def cancel_path(dialect: object) -> str:
-    """Return the path by which calls are cancelled, or an empty string."""
+    """Return the path of cancel requests, or an empty string if calls cannot be cancelled."""
     raise TypeError(f"unknown dialect {dialect!r}")
 
 
--- a/packages/entry/src/mountladder_entry/enginedialect.py
+++ b/packages/entry/src/mountladder_entry/enginedialect.py
@@ -1,8 +1,8 @@
-# enginedialect.py -- How model engines are spoken to
+# enginedialect.py -- The protocol of model engines
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How model engines are spoken to."""
+"""The protocol of model engines."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineDialect:
-    """A model engine: one path for each kind of work, answers carry the attempt's id."""
+    """Model engines: one path for each kind of work; answers carry the attempt's id."""
--- a/packages/entry/src/mountladder_entry/httpbackend.py
+++ b/packages/entry/src/mountladder_entry/httpbackend.py
@@ -1,8 +1,8 @@
-# httpbackend.py -- Calls to backend servers over HTTP
+# httpbackend.py -- Calls backend servers over HTTP
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls to backend servers over HTTP."""
+"""Calls backend servers over HTTP."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 class HttpBackend(Backend):
     """Calls backend servers over HTTP, each answer matched with the attempt that asked for it.
 
-    A connection is used again only after an answer that was read whole. A call that must not be
-    repeated gets a connection of its own, since one used before may have been closed unseen.
+    A connection is reused only after a whole answer. A call that must not be repeated has the
+    server close its connection, since an idle one may have been closed unnoticed.
 
     Args:
-        clock: The clock on which calls are limited.
+        clock: The clock that times calls out.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -57,7 +57,7 @@
         self.pool = urllib3.PoolManager(num_pools=POOLS, maxsize=POOL_SIZE, retries=False)
 
     def run(self, server: BackendServer, call: StageCall) -> StageResult:
-        """Run a stage and return its whole result; see Backend."""
+        """Run a stage and return its result; see Backend."""
         response = self.open(server, call, call.deadline - self.clock.now(), False)
         try:
             data = self.read(response, call.deadline - self.clock.now())
@@ -83,7 +83,7 @@
             while not reader.ended:
                 data = next(pieces, b"")
                 if not data:
-                    raise StageError("the stream ended before its end", Code.STREAM_CUT)
+                    raise StageError("the stream is incomplete", Code.STREAM_CUT)
                 chunk = reader.feed(data, load)
                 if chunk is not None:
                     yield chunk
@@ -94,10 +94,10 @@
         response.release_conn()
 
     def pieces(self, response: urllib3.BaseHTTPResponse, call: StageCall) -> Iterator[bytes]:
-        """Yield a stream's body as it comes, while it comes in time.
+        """Yield the parts of a stream's body as they arrive, while they arrive in time.
 
-        The socket's own timeout watches over the silence between pieces, which costs less than a
-        timer for each of them.
+        The socket's timeout limits the time between two parts, which costs less than a timer for
+        each of them.
         """
         body = response.stream(READ_BYTES)
         connection = response.connection
@@ -193,14 +193,14 @@
             raise _broken(error) from error
 
     def refuses(self, server: BackendServer) -> bool:
-        """Tell whether nobody listens at a server's address; see Backend."""
+        """Return whether a server's address refuses connections; see Backend."""
         host, port = split(server.address)
         try:
             socket.create_connection((host, port), CONNECT_SECONDS).close()
         except ConnectionRefusedError:
             return True
         except OSError as error:
-            log_message("server-unreached", server=server.name, reason=repr(error))
+            log_message("server-unreachable", server=server.name, reason=repr(error))
         return False
 
     def cancel(self, server: BackendServer, attempt: str) -> None:
@@ -225,7 +225,7 @@
 def _broken(error: Exception) -> StageError:
     if isinstance(error, (urllib3.exceptions.ReadTimeoutError, TimeoutError)):
         return StageError("no data came in time", Code.STAGE_STALLED)
-    return StageError(f"the answer broke: {error}", Code.STREAM_CUT)
+    return StageError(f"reading the answer failed: {error}", Code.STREAM_CUT)
 
 
 def _load(response: urllib3.BaseHTTPResponse) -> int | None:
--- a/packages/entry/src/mountladder_entry/httpclient.py
+++ b/packages/entry/src/mountladder_entry/httpclient.py
@@ -1,8 +1,8 @@
-# httpclient.py -- HTTP calls with a limit on their time
+# httpclient.py -- An HTTP client with timeouts for the platform's services
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""HTTP calls with a limit on their time."""
+"""An HTTP client with timeouts for the platform's services."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class HttpClient:
-    """Calls to the platform over HTTP.
+    """Calls the platform's services over HTTP.
 
     Args:
         base: The base URL.
-        clock: The clock on which a call is limited.
-        answer_ms: How long an answer may take.
+        clock: The clock that times calls out.
+        answer_ms: The timeout of an answer.
     """
 
     def __init__(self, base: str, clock: Clock, answer_ms: float = ANSWER_MS) -> None:
@@ -53,7 +53,7 @@
         headers: Mapping[str, str] | None = None,
         answer_ms: float | None = None,
     ) -> urllib3.BaseHTTPResponse:
-        """Make a call and return its answer, whose body is read.
+        """Make a call and return its answer with the whole body.
 
         Args:
             method: The HTTP method.
@@ -62,10 +62,10 @@
             fields: The query.
             missing: Whether the answer 404 is expected.
             headers: Further headers.
-            answer_ms: How long the answer may take, where it is not the usual time.
+            answer_ms: The timeout of this answer, or None for the client's.
 
         Raises:
-            StoreUnavailableError: The service refused or cannot be reached; nothing was done.
+            StoreUnavailableError: The service refused or cannot be reached; nothing was changed.
             StoreAmbiguousError: No answer came; the call may have been carried out.
         """
         url = self.base + path
@@ -87,7 +87,7 @@
         fields: Mapping[str, str] | None = None,
         answer_ms: float | None = None,
     ) -> urllib3.BaseHTTPResponse:
-        """Make a call that changes nothing.
+        """Make a read-only call.
 
         Raises:
             StoreUnavailableError: The service gave no answer.
--- a/packages/entry/src/mountladder_entry/httpengines.py
+++ b/packages/entry/src/mountladder_entry/httpengines.py
@@ -1,8 +1,8 @@
-# httpengines.py -- Orders to model engines over HTTP
+# httpengines.py -- Reads model engines' state and sends them orders over HTTP
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders to model engines over HTTP."""
+"""Reads model engines' state and sends them orders over HTTP."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class HttpEngines(Engines):
-    """Reads and orders engines over HTTP.
+    """Reads engines' state and sends them orders over HTTP.
 
     Args:
-        clock: The clock on which calls are limited.
+        clock: The clock that times calls out.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -34,7 +34,7 @@
         self.pool = urllib3.PoolManager(num_pools=256, maxsize=2, retries=False)
 
     def state(self, server: BackendServer) -> EngineState:
-        """Return what an engine serves; see Engines."""
+        """Return the models that an engine serves and loads; see Engines."""
         response = self.call(server, "GET", "/v1/state")
         try:
             table = json.loads(response.data)
@@ -46,7 +46,7 @@
             raise StageError(detail, Code.BAD_ANSWER) from error
 
     def order(self, server: BackendServer, order: Order) -> None:
-        """Order an engine; see Engines."""
+        """Send an order to an engine; see Engines."""
         body = json.dumps({"fence": order.fence, "models": dict(order.models)}).encode()
         response = self.call(server, "PUT", "/v1/orders", body)
         if response.status == FENCED_STATUS:
--- a/packages/entry/src/mountladder_entry/httpinstancelist.py
+++ b/packages/entry/src/mountladder_entry/httpinstancelist.py
@@ -1,8 +1,8 @@
-# httpinstancelist.py -- The list of instances over HTTP
+# httpinstancelist.py -- The platform's list of instances over HTTP
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The list of instances over HTTP."""
+"""The platform's list of instances over HTTP."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
             raise BadRowError(f"the list of instances cannot be read: {error}") from error
 
     def announce(self, instance: Instance) -> None:
-        """Tell the platform of an instance; see InstanceList."""
+        """Announce an instance to the platform; see InstanceList."""
         try:
             self.client.call("POST", "/instances", json.dumps(asdict(instance)).encode())
         except StoreAmbiguousError as error:
--- a/packages/entry/src/mountladder_entry/httpobjectstore.py
+++ b/packages/entry/src/mountladder_entry/httpobjectstore.py
@@ -1,8 +1,8 @@
-# httpobjectstore.py -- The object store over HTTP
+# httpobjectstore.py -- The platform's object store over HTTP
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The object store over HTTP."""
+"""The platform's object store over HTTP."""
 
 from __future__ import annotations
 
--- a/packages/entry/src/mountladder_entry/httptable.py
+++ b/packages/entry/src/mountladder_entry/httptable.py
@@ -1,8 +1,8 @@
-# httptable.py -- The table service over HTTP
+# httptable.py -- The platform's table service over HTTP
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The table service over HTTP."""
+"""The platform's table service over HTTP."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         fields = {"prefix": prefix, "after": after, "limit": str(limit)}
         entries = parse(self.client.read("/table/rows", fields))
         if not isinstance(entries, list):
-            raise BadRowError("a list of rows was expected")
+            raise BadRowError("the answer is not a list of rows")
         return [_row(entry) for entry in entries]
 
     def commit(self, writes: Sequence[Write]) -> int:
--- a/packages/entry/src/mountladder_entry/logqueue.py
+++ b/packages/entry/src/mountladder_entry/logqueue.py
@@ -1,8 +1,8 @@
-# logqueue.py -- Log lines written without blocking
+# logqueue.py -- Writes log lines without blocking
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Log lines written without blocking."""
+"""Writes log lines without blocking."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 from mountladder.metrics.metric import Metric
 from mountladder.metrics.metrics import Metrics
 
-# At 1 KB a line this is at most 4 MB of memory while nobody reads the output.
+# Further lines are dropped and counted. At 1 KB a line the queue takes at most 4 MB of memory while
+# the output is not read.
 MOST_LINES = 4_000
-# Beyond so many lines a second, lines are dropped and counted: five for each of 100 requests.
+# Lines that are joined into one write; a request logs about five.
 MOST_LINES_A_BATCH = 200
 
 
 class LogQueue:
-    """Takes log messages and writes them as JSON lines from a task of its own.
+    """Queues log messages and writes them as JSON lines from a greenlet.
 
-    Whoever logs never waits: where the reader of the output is slow the queue fills, further lines
-    are dropped, and the next line that is written tells how many.
+    Logging never blocks: if the reader of the output is slow the queue fills, further lines are
+    dropped, and the next line that is written reports their number.
 
     Args:
-        descriptor: Where the lines are written.
-        metrics: Where dropped lines are counted.
+        descriptor: The file descriptor that lines are written to.
+        metrics: Counts dropped lines.
     """
 
     def __init__(self, descriptor: int, metrics: Metrics) -> None:
@@ -42,7 +43,7 @@
         self.writer: gevent.Greenlet | None = None
 
     def __call__(self, message: dict[str, object]) -> None:
-        """Take in one message; this is the destination that eliot calls."""
+        """Queue a message; eliot calls this as a destination."""
         if len(self.lines) >= MOST_LINES:
             self.dropped += 1
             self.metrics.count(Metric.DROPPED_LINES)
@@ -51,12 +52,12 @@
         self.ready.set()
 
     def start(self) -> None:
-        """Start writing."""
+        """Start the greenlet that writes."""
         gevent_os.make_nonblocking(self.descriptor)
         self.writer = gevent.spawn(self.run)
 
     def run(self) -> None:
-        """Write what comes in, for ever."""
+        """Write queued lines, for ever."""
         while True:
             self.ready.wait()
             self.ready.clear()
@@ -64,7 +65,7 @@
                 self.write(self.take())
 
     def take(self) -> bytes:
-        """Return the next lines, and how many were dropped before them."""
+        """Return the next lines, after one that reports the lines dropped before them."""
         taken = []
         if self.dropped:
             note = {"message_type": "log-lines-dropped", "lines": self.dropped}
@@ -75,14 +76,14 @@
         return b"".join(taken)
 
     def write(self, data: bytes) -> None:
-        """Write all bytes, waiting for the reader where needed."""
+        """Write all bytes, waiting while the descriptor is not writable."""
         view = memoryview(data)
         while view:
             written = gevent_os.nb_write(self.descriptor, view)
             view = view[written:]
 
     def close(self) -> None:
-        """Write what is left as far as it can be taken at once, and stop."""
+        """Stop, and write the queued lines that the descriptor takes without blocking."""
         if self.writer is not None:
             self.writer.kill()
         try:
--- a/packages/entry/src/mountladder_entry/main.py
+++ b/packages/entry/src/mountladder_entry/main.py
@@ -6,14 +6,14 @@
 
 import gc
 
-# Nothing that modules make while they are loaded is garbage, and looking for it took a tenth of
-# the time of a start. Whoever has loaded the last of them looks for it again.
+# Loading modules makes almost no garbage, and collecting it took a tenth of the time of a start.
+# The collector is enabled again after the last module is loaded: below, or by the adapter.
 gc.disable()
 
 from gevent import config, monkey
 
-# All addresses are IP numbers, which are read without asking anybody; the usual resolver hands each
-# to a thread of its own, at eight times the processor time (0.16 in place of 0.02 ms).
+# All addresses are IP addresses and need no name server. gevent's default resolver uses a thread
+# for each, which takes eight times the processor time (0.16 instead of 0.02 ms).
 config.resolver = "block"
 monkey.patch_all()
 
@@ -24,7 +24,7 @@
 
 import click
 
-# A crash of a library must leave a trace in the log of the process.
+# A crash in a library must leave a traceback in the log of the process.
 faulthandler.enable()
 
 
@@ -35,14 +35,14 @@
 def main(settings: Path | None, check: bool, adapter: str | None) -> None:
     """Run an entry instance of mountladder in the foreground.
 
-    Without an adapter the instance serves the product's own interface by the file SETTINGS. With
-    one, the adapter's function `serve` runs it, on settings of the platform's.
+    Without an adapter the instance serves mountladder's own interface, configured by the file
+    SETTINGS. With one, the adapter's function `serve` runs it with settings from the platform.
     """
     if adapter:
         sys.exit(importlib.import_module(adapter).serve())
     if settings is None:
         raise click.UsageError("the file SETTINGS is missing")
-    # An instance behind an adapter must not pay for what only the product's interface imports.
+    # Imported here, since an instance behind an adapter does not need what standalone imports.
     standalone = importlib.import_module("mountladder_entry.standalone")
     gc.enable()
     sys.exit(standalone.run(settings, check))
--- a/packages/entry/src/mountladder_entry/node.py
+++ b/packages/entry/src/mountladder_entry/node.py
@@ -32,11 +32,11 @@
     Args:
         settings: The settings.
         clock: The clock.
-        platform: The platform's services.
+        platform: The platform's table, object store and list of instances.
         backend: Calls backend servers.
-        metrics: Where metrics go.
-        seed: The seed of its random numbers, or None for a different one each time.
-        engines: Reads and orders engines, or None to send no orders.
+        metrics: Records metrics.
+        seed: The seed of its random numbers, or None for a random one.
+        engines: Reads engines and sends them orders, or None to send no orders.
     """
 
     def __init__(
--- a/packages/entry/src/mountladder_entry/operators.py
+++ b/packages/entry/src/mountladder_entry/operators.py
@@ -23,7 +23,7 @@
 
 
 def install(app: bottle.Bottle, node: Node) -> None:
-    """Add the balancer's and the operators' routes to an application."""
+    """Add the routes for the load balancer and for operators to an application."""
     app.get("/healthz", callback=lambda: {"healthy": True})
     app.get("/readyz", callback=lambda: readiness(node))
     app.get("/ops/status", callback=lambda: guarded(node, lambda: status(node)))
@@ -35,7 +35,7 @@
 
 
 def guarded(node: Node, page: Callable[[], dict[str, object]]) -> object:
-    """Return a page to an operator, or a problem document."""
+    """Return a page if the request carries the operator's token, or else a problem document."""
     try:
         if not bears(node.settings.operator_token):
             raise RefusalError("the operator's token is wrong", Code.UNAUTHENTICATED)
@@ -47,14 +47,14 @@
 
 
 def readiness(node: Node) -> dict[str, object]:
-    """Tell the balancer whether to send requests here."""
+    """Answer the load balancer's readiness check."""
     if not node.ready:
         bottle.response.status = 503
     return {"ready": node.ready}
 
 
 def status(node: Node) -> dict[str, object]:
-    """Return what the instance is and does."""
+    """Return the instance's state and counters."""
     age = node.follower.age_ms()
     counts = getattr(node.metrics, "counts", {})
     return {
@@ -74,7 +74,7 @@
 
 
 def servers(node: Node) -> dict[str, object]:
-    """Return for each backend server whether it gets work from this instance, and why not."""
+    """Return the state of each backend server, and why it gets no work if it does not."""
     now = node.clock.now()
     rows = []
     for server in node.follower.configuration.of_kind("server"):
@@ -99,13 +99,13 @@
 
 
 def explain(node: Node, request: str) -> dict[str, object]:
-    """Return what happened to a request.
+    """Return the trace of a request.
 
     Raises:
-        RefusalError: The instance knows nothing of it.
+        RefusalError: The instance has no trace of it.
     """
     trace = node.traces.find(request)
     if trace is None:
-        raise RefusalError(f"nothing is known of request {request!r}", Code.NOT_FOUND)
+        raise RefusalError(f"there is no trace of request {request!r}", Code.NOT_FOUND)
     entries = json.loads(json.dumps([asdict(entry) for entry in trace.entries]))
     return {"request": request, "revision": trace.revision, "entries": entries}
--- a/packages/entry/src/mountladder_entry/platform.py
+++ b/packages/entry/src/mountladder_entry/platform.py
@@ -1,8 +1,8 @@
-# platform.py -- The platform over HTTP
+# platform.py -- The platform's services over HTTP
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform over HTTP."""
+"""The platform's services over HTTP."""
 
 from __future__ import annotations
 
--- a/packages/entry/src/mountladder_entry/quarantinepages.py
+++ b/packages/entry/src/mountladder_entry/quarantinepages.py
@@ -1,8 +1,8 @@
-# quarantinepages.py -- Operators' pages about requests that end servers
+# quarantinepages.py -- The HTTP interface for operators to the quarantine
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Operators' pages about requests that end servers."""
+"""The HTTP interface for operators to the quarantine."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
     Args:
         app: The application.
-        quarantine: The instance's book.
-        token: What whoever calls them has to bear.
+        quarantine: The instance's quarantine.
+        token: The bearer token that calls need.
     """
     app.get("/quarantine", callback=lambda: guarded(token, lambda: listed(quarantine)))
     app.delete(
@@ -33,7 +33,7 @@
 
 
 def guarded(token: str, page: Callable[[], dict[str, object]]) -> dict[str, object]:
-    """Return a page to an operator, or why there is none."""
+    """Return a page if the request carries the token, or else an error."""
     try:
         if not bears(token):
             raise RefusalError("the token is wrong", Code.UNAUTHENTICATED)
@@ -44,7 +44,7 @@
 
 
 def listed(quarantine: Quarantine) -> dict[str, object]:
-    """Return every request under which servers ended, the latest first."""
+    """Return every suspect: a request that servers crashed under, the latest first."""
     now = quarantine.clock.now()
     suspects = [one for one in quarantine.suspicions.values() if one.is_suspect]
     suspects.sort(key=lambda one: one.changed_at, reverse=True)
@@ -52,13 +52,13 @@
 
 
 def lift(quarantine: Quarantine, fingerprint: str) -> dict[str, object]:
-    """Clear a request, on every instance.
+    """Clear a suspect on every instance.
 
     Raises:
-        RefusalError: No server ended under it.
+        RefusalError: The request is not a suspect.
     """
     if not quarantine.lift(fingerprint):
-        raise RefusalError(f"nothing is known against {fingerprint!r}", Code.NOT_FOUND)
+        raise RefusalError(f"{fingerprint!r} is not a suspect", Code.NOT_FOUND)
     return {"cleared": fingerprint}
 
 
--- a/packages/entry/src/mountladder_entry/quietlog.py
+++ b/packages/entry/src/mountladder_entry/quietlog.py
@@ -1,8 +1,8 @@
-# quietlog.py -- Where the web server's own messages go
+# quietlog.py -- Logs the web server's error messages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Where the web server's own messages go."""
+"""Logs the web server's error messages."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class QuietLog:
-    """Takes the web server's error text into the log as JSON lines."""
+    """Writes the web server's error messages to the log as JSON lines."""
 
     def write(self, text: str) -> None:
-        """Log a piece of text."""
+        """Log a message."""
         if text.strip():
-            log_message("web-server", text=text.rstrip())
+            log_message("web-server-error", text=text.rstrip())
 
     def flush(self) -> None:
-        """Do nothing, since every message is written at once."""
+        """Do nothing: every message is logged at once."""
--- a/packages/entry/src/mountladder_entry/relay.py
+++ b/packages/entry/src/mountladder_entry/relay.py
@@ -1,8 +1,8 @@
-# relay.py -- Relaying a request to the instance that issued its key
+# relay.py -- Relays a request to the instance that issued its key
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Relaying a request to the instance that issued its key."""
+"""Relays a request to the instance that issued its key."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class Relay:
-    """Passes requests on to the only instance that may run them.
+    """Relays requests with issued keys to the only instance that may run them.
 
     Args:
-        membership: Which instances there are.
+        membership: Finds instances by incarnation.
         clock: The clock.
-        metrics: Where relayed requests are counted.
+        metrics: Counts relayed requests.
     """
 
     def __init__(self, membership: Membership, clock: Clock, metrics: Metrics) -> None:
@@ -41,7 +41,7 @@
         self.pool = urllib3.PoolManager(num_pools=64, maxsize=32, retries=False)
 
     def ask(self, home: IssuedKey, request: Request, caller: bottle.BaseRequest) -> Relayed | None:
-        """Pass a request on; return None where its home cannot be reached."""
+        """Relay a request; return None if the instance that issued its key cannot be reached."""
         instance = self.membership.find(home.incarnation)
         if instance is None:
             return None
--- a/packages/entry/src/mountladder_entry/relayed.py
+++ b/packages/entry/src/mountladder_entry/relayed.py
@@ -1,8 +1,8 @@
-# relayed.py -- What another instance answered
+# relayed.py -- The answer of another instance to a relayed request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What another instance answered."""
+"""The answer of another instance to a relayed request."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """The answer of another instance.
+    """The answer of another instance to a relayed request.
 
     Attributes:
         status: Its HTTP status.
         headers: Its headers.
-        body: Its body, as it comes.
+        body: The parts of its body as they arrive.
     """
 
     status: int
--- a/packages/entry/src/mountladder_entry/servicedialect.py
+++ b/packages/entry/src/mountladder_entry/servicedialect.py
@@ -1,8 +1,8 @@
-# servicedialect.py -- How plain services are spoken to
+# servicedialect.py -- The protocol of plain services
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How plain services are spoken to."""
+"""The protocol of plain services."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceDialect:
-    """A plain service: one path for each stage; it need not know of attempts."""
+    """Plain services: one path for each stage; answers may lack the attempt's id."""
--- a/packages/entry/src/mountladder_entry/standalone.py
+++ b/packages/entry/src/mountladder_entry/standalone.py
@@ -1,8 +1,8 @@
-# standalone.py -- An instance with the product's own interface
+# standalone.py -- Runs an instance with mountladder's own interface
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An instance with the product's own interface."""
+"""Runs an instance with mountladder's own interface."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     if settings is None:
         return EXIT_SETTINGS
     if check:
-        click.echo("the settings are good")
+        click.echo("the settings are valid")
         return 0
     to_file(sys.stderr)
     with ExitStack() as stack:
@@ -55,7 +55,7 @@
 
 
 def serve(settings: Settings, stack: ExitStack) -> int:
-    """Run until a signal to end; return how many requests were cut."""
+    """Run until a signal to stop; return the number of requests that were aborted."""
     clock = SystemClock()
     backend = HttpBackend(clock)
     stack.callback(backend.close)
@@ -73,16 +73,16 @@
 
 
 def take_signal(asked: Event, node: Node) -> None:
-    """End gracefully at the first signal and at once at the second."""
+    """Shut down gracefully at the first signal and exit at the second."""
     if asked.is_set():
         running = [name for name, number in node.admission.running.items() if number]
-        log_message("ended-at-once", cut=node.admission.total, teams=running)
+        log_message("stopped-at-once", aborted=node.admission.total, teams=running)
         sys.exit(EXIT_CUT)
     asked.set()
 
 
 def make_metrics(settings: Settings, stack: ExitStack) -> Metrics:
-    """Return where metrics go by the settings."""
+    """Return the receiver of metrics by the settings: StatsD, or memory."""
     if not settings.statsd:
         return MemoryMetrics()
     host, _, port = settings.statsd.rpartition(":")
