--- a/features/steps/bar_steps.py
+++ b/features/steps/bar_steps.py
@@ -11,7 +11,7 @@
 from behave import given, then, when
 from click.testing import CliRunner
 from gevent.pywsgi import WSGIServer
-from mountladder_platform.storebars import StoreBars
+from mountladder_platform.storesuspicions import StoreSuspicions
 
 from mountladder.clocks.systemclock import SystemClock
 from mountladder.metrics.memorymetrics import MemoryMetrics
@@ -69,7 +69,7 @@
 
     client = HttpClient(f"http://{serve(context, app)}", SystemClock(), 1_000.0)
     context.stack.callback(client.close)
-    context.bars = StoreBars(client)
+    context.bars = StoreSuspicions(client)
 
 
 @given("a row there with {fault}")
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -10,7 +10,7 @@
 import gevent
 from behave import given, then, when
 from forwardbasics import PATHS, PROMPT, desk_of, meeting, request, serve
-from mountladder_platform.platforminstance import LINK_MS
+from mountladder_platform.platforminstance import LINK_SETUP_MS
 
 from mountladder.forwarding.datacentredrain import DatacentreDrain
 from mountladder.forwarding.placementorder import PlacementOrder
@@ -123,7 +123,7 @@
 
 @when("instance {name} starts, which is sent {number:d} {kind} requests after the greetings")
 def greets_and_serves(context, name, number, kind):
-    start_and_serve(context, name, number, kind, LINK_MS)
+    start_and_serve(context, name, number, kind, LINK_SETUP_MS)
 
 
 def start_and_serve(context, name, number, kind, wait_ms):
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -249,7 +249,7 @@
 
 @given("a-1 drops callers that are silent for {ms:d} ms and has small buffers")
 def small_buffers(context, ms):
-    context.stack.enter_context(patch.object(Connection, "silence_seconds", ms / 1000.0))
+    context.stack.enter_context(patch.object(Connection, "timeout_seconds", ms / 1000.0))
     listening = context.fleet.nodes[0].web.socket
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
 
--- a/features/steps/ingress_steps.py
+++ b/features/steps/ingress_steps.py
@@ -19,7 +19,7 @@
 from mountladder.forwarding.callerlimits import CallerLimits
 from mountladder.forwarding.forwardanswer import ForwardAnswer
 from mountladder_entry.callerconnection import CallerConnection
-from mountladder_entry.quietlog import QuietLog
+from mountladder_entry.weberrorlog import WebErrorLog
 
 LIMITS = CallerLimits(2_000, 1_000, 200.0, 400.0)
 HEAD = b"POST /a/b HTTP/1.1\r\nHost: x.y\r\n"
@@ -67,7 +67,7 @@
     )
     application = Ingress(context.forwarder, lambda: LIMITS, SystemClock())
     server = WSGIServer(
-        ("127.0.0.1", 0), application, log=None, error_log=QuietLog(), handler_class=handler
+        ("127.0.0.1", 0), application, log=None, error_log=WebErrorLog(), handler_class=handler
     )
     server.start()
     context.stack.callback(server.stop, 0.1)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -31,7 +31,7 @@
 from mountladder.notices.rest import Rest
 from mountladder.store.position import Position
 from mountladder_entry.httpclient import HttpClient
-from mountladder_entry.logqueue import MOST_LINES, LogQueue
+from mountladder_entry.logqueue import MAX_LINES, LogQueue
 
 LIMIT_MS = 300.0
 
@@ -122,7 +122,7 @@
 @then("{number:d} connections to it are kept")
 def kept(context, number):
     assert context.connections == len(context.ended) == 8
-    assert len(context.upstream.pool.kept[context.server.address]) == number
+    assert len(context.upstream.pool.idle[context.server.address]) == number
 
 
 @given("a backend server that is not there")
@@ -465,8 +465,8 @@
 def took(context, ms):
     assert context.took_ms <= ms, context.took_ms
     dropped = context.metrics.counts["dropped_lines"]
-    assert 0 < dropped < context.lines - MOST_LINES // 2
-    assert len(context.queue.lines) <= MOST_LINES
+    assert 0 < dropped < context.lines - MAX_LINES // 2
+    assert len(context.queue.lines) <= MAX_LINES
 
 
 @then("what is read says how many were dropped")
--- a/packages/entry/src/mountladder_entry/application.py
+++ b/packages/entry/src/mountladder_entry/application.py
@@ -25,13 +25,13 @@
 
     app = bottle.Bottle()
     app.catchall = True
-    app.default_error_handler = _fault
+    app.default_error_handler = _error_document
     callers.install(app, node)
     operators.install(app, node)
     return app
 
 
-def _fault(error: bottle.HTTPError) -> bytes:
+def _error_document(error: bottle.HTTPError) -> bytes:
     """Return a problem document for an error of Bottle or of a route's handler."""
     code = Code.INTERNAL
     if error.status_code in {404, 405}:
--- a/packages/entry/src/mountladder_entry/bearer.py
+++ b/packages/entry/src/mountladder_entry/bearer.py
@@ -11,7 +11,7 @@
 import bottle
 
 
-def bears(token: str) -> bool:
+def has_token(token: str) -> bool:
     """Return whether the current request carries a token; an empty token accepts every request."""
     sent = bottle.request.get_header("Authorization", "")
     return not token or hmac.compare_digest(sent.encode(), f"Bearer {token}".encode())
--- a/packages/entry/src/mountladder_entry/callerconnection.py
+++ b/packages/entry/src/mountladder_entry/callerconnection.py
@@ -15,7 +15,7 @@
 
 MS_PER_SECOND = 1000.0
 # The socket's timeout during a request: a caller that neither reads nor sends is dropped after it.
-SILENCE_SECONDS = 30.0
+IO_TIMEOUT_SECONDS = 30.0
 _LENGTH = re.compile(r"[0-9]{1,15}")
 
 
@@ -47,14 +47,14 @@
         Raises:
             ValueError: The head is malformed or too long.
         """
-        started = self.rfile
-        self.rfile = _Bounded(started, self.limits().header_bytes)
+        stream = self.rfile
+        self.rfile = _BoundedReader(stream, self.limits().header_bytes)
         try:
-            good = super().read_request(raw_requestline)
+            is_valid = super().read_request(raw_requestline)
         finally:
-            self.rfile = started
-        self.socket.settimeout(SILENCE_SECONDS)
-        return good
+            self.rfile = stream
+        self.socket.settimeout(IO_TIMEOUT_SECONDS)
+        return is_valid
 
     def MessageClass(self, *args: object) -> object:  # noqa: N802 (the web server's name)
         """Read the headers, and refuse those that give the length of the body ambiguously.
@@ -65,19 +65,19 @@
         headers = super().MessageClass(*args)
         codings = headers.get_all("transfer-encoding") or []
         lengths = headers.get_all("content-length") or []
-        if codings and (lengths or [one.strip().lower() for one in codings] != ["chunked"]):
+        if codings and (lengths or [coding.strip().lower() for coding in codings] != ["chunked"]):
             raise ValueError("the length of the body is ambiguous")
-        if len(lengths) > 1 or any(not _LENGTH.fullmatch(one.strip()) for one in lengths):
+        if len(lengths) > 1 or any(not _LENGTH.fullmatch(length.strip()) for length in lengths):
             raise ValueError("the length of the body is malformed")
         return headers
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
         """Return the answer to a malformed, slow or long head."""
         if isinstance(ex, TimeoutError):
-            return "408", _closing("408 Request Timeout")
+            return "408", _closing_answer("408 Request Timeout")
         if isinstance(ex, _HeadTooLongError):
-            return "431", _closing("431 Request Header Fields Too Large")
-        return "400", _closing("400 Bad Request")
+            return "431", _closing_answer("431 Request Header Fields Too Large")
+        return "400", _closing_answer("400 Bad Request")
 
     def start_response(
         self,
@@ -103,24 +103,24 @@
     """The head of a request is longer than the limit."""
 
 
-class _Bounded:
+class _BoundedReader:
     """Reads the lines of a head, up to a limit in bytes."""
 
-    def __init__(self, inner: object, most: int) -> None:
+    def __init__(self, inner: object, max_bytes: int) -> None:
         self.inner = inner
-        self.left = most
+        self.remaining = max_bytes
         self.closed = False
 
     def readline(self, size: int = -1) -> bytes:
         """Return the next line."""
         line = self.inner.readline(size)
-        self.left -= len(line)
-        if self.left < 0:
+        self.remaining -= len(line)
+        if self.remaining < 0:
             raise _HeadTooLongError("the head is too long")
         if not line.endswith(b"\n"):
             raise ValueError("the head is incomplete")
         return line
 
 
-def _closing(status: str) -> bytes:
+def _closing_answer(status: str) -> bytes:
     return f"HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".encode()
--- a/packages/entry/src/mountladder_entry/callers.py
+++ b/packages/entry/src/mountladder_entry/callers.py
@@ -22,25 +22,25 @@
 from mountladder_entry.node import Node
 from mountladder_entry.relay import HOP_HEADER
 
-MOST_KEYS = 1_000
+MAX_KEYS = 1_000
 EVENT_STREAM = "text/event-stream"
 
 
 def install(app: bottle.Bottle, node: Node) -> None:
     """Add the callers' routes to an application."""
     app.post("/v1/pipelines/<name>", callback=lambda name: answer(node, name))
-    app.post("/v1/keys", callback=lambda: keys(node))
+    app.post("/v1/keys", callback=lambda: issue_keys(node))
 
 
-def keys(node: Node) -> dict[str, object]:
+def issue_keys(node: Node) -> dict[str, object]:
     """Issue idempotency keys whose requests only this instance runs."""
     try:
         number = int(bottle.request.query.get("count", "1"))
-        if not 1 <= number <= MOST_KEYS:
+        if not 1 <= number <= MAX_KEYS:
             raise ValueError(number)
         team = node.gateway.team(_token())
     except ValueError:
-        return _refuse(RefusalError(f"count: expected 1 to {MOST_KEYS}", Code.BAD_REQUEST))
+        return _refuse(RefusalError(f"count: expected 1 to {MAX_KEYS}", Code.BAD_REQUEST))
     except MountladderError as error:
         return _refuse(error)
     return {"keys": [node.gateway.idempotency.issue(team.name) for _ in range(number)]}
@@ -50,14 +50,14 @@
     """Answer a request of a caller."""
     request: Request | None = None
     try:
-        called = read(node, name)
-        reply = node.gateway.serve(called)
+        caller_request = read(node, name)
+        reply = node.gateway.serve(caller_request)
         request = reply.request
         if reply.home is not None:
             return relay(node, reply)
         if EVENT_STREAM in bottle.request.get_header("Accept", ""):
             return stream(reply)
-        return whole(reply)
+        return json_answer(reply)
     except MountladderError as error:
         return _refuse(error, request)
 
@@ -99,25 +99,25 @@
     )
 
 
-def read_body(most: int) -> bytes:
+def read_body(max_bytes: int) -> bytes:
     """Read a body of bounded size.
 
     Raises:
         RefusalError: The body is too large or incomplete.
     """
     length = bottle.request.content_length
-    if length > most:
-        raise RefusalError(f"{length} bytes, at most {most}", Code.BODY_TOO_LARGE)
+    if length > max_bytes:
+        raise RefusalError(f"{length} bytes, at most {max_bytes}", Code.BODY_TOO_LARGE)
     try:
-        body = bottle.request.environ["wsgi.input"].read(most + 1)
+        body = bottle.request.environ["wsgi.input"].read(max_bytes + 1)
     except OSError as error:
         raise RefusalError(f"the body is incomplete: {error}", Code.BAD_REQUEST) from error
-    if len(body) > most:
-        raise RefusalError(f"more than {most} bytes", Code.BODY_TOO_LARGE)
+    if len(body) > max_bytes:
+        raise RefusalError(f"more than {max_bytes} bytes", Code.BODY_TOO_LARGE)
     return body
 
 
-def whole(reply: Reply) -> bytes:
+def json_answer(reply: Reply) -> bytes:
     """Run a request to its end and return its answer as JSON."""
     bottle.response.content_type = "application/json"
     if reply.kept is not None:
@@ -160,7 +160,7 @@
     """Return the answer of the instance that issued the request's key."""
     if bottle.request.get_header(HOP_HEADER):
         raise RunError("", Code.KEY_HOME_GONE)
-    relayed = node.relay.ask(reply.home, reply.request, bottle.request)
+    relayed = node.relay.forward(reply.home, reply.request, bottle.request)
     if relayed is None:
         decision = node.gateway.idempotency.stored_answer(reply.request)
         bottle.response.content_type = "application/json"
--- a/packages/entry/src/mountladder_entry/callerwatch.py
+++ b/packages/entry/src/mountladder_entry/callerwatch.py
@@ -29,24 +29,24 @@
     task = gevent.getcurrent()
     loop = gevent.get_hub().loop
     watcher = loop.io(socket.fileno(), READABLE)
-    inside = True
+    active = True
 
     def throw() -> None:
         """Raise the error in the greenlet if the block still runs."""
-        if inside:
+        if active:
             task.throw(CallerGoneError())
 
-    def readable() -> None:
+    def on_readable() -> None:
         """Check whether the socket became readable because the caller closed it."""
         watcher.stop()
         if _is_closed(socket):
             loop.run_callback(throw)
 
-    watcher.start(readable)
+    watcher.start(on_readable)
     try:
         yield
     finally:
-        inside = False
+        active = False
         watcher.stop()
         watcher.close()
 
--- a/packages/entry/src/mountladder_entry/connection.py
+++ b/packages/entry/src/mountladder_entry/connection.py
@@ -8,7 +8,7 @@
 
 from gevent.pywsgi import WSGIHandler
 
-SILENCE_SECONDS = 30.0
+IO_TIMEOUT_SECONDS = 30.0
 
 
 class Connection(WSGIHandler):
@@ -18,12 +18,12 @@
     slot of the backend server for ever.
 
     Attributes:
-        silence_seconds: The timeout of a read or a write.
+        timeout_seconds: The timeout of a read or a write.
     """
 
-    silence_seconds = SILENCE_SECONDS
+    timeout_seconds = IO_TIMEOUT_SECONDS
 
     def handle(self) -> None:
         """Serve the connection until it ends."""
-        self.socket.settimeout(self.silence_seconds)
+        self.socket.settimeout(self.timeout_seconds)
         super().handle()
--- a/packages/entry/src/mountladder_entry/dialect.py
+++ b/packages/entry/src/mountladder_entry/dialect.py
@@ -25,13 +25,13 @@
 
 
 @singledispatch
-def path(dialect: object, call: StageCall) -> str:
+def call_path(dialect: object, call: StageCall) -> str:
     """Return the path that a call is sent to."""
     raise TypeError(f"unknown dialect {dialect!r}")
 
 
 @singledispatch
-def names_attempts(dialect: object) -> bool:
+def requires_attempt(dialect: object) -> bool:
     """Return whether every answer must carry the id of its attempt."""
     raise TypeError(f"unknown dialect {dialect!r}")
 
@@ -42,22 +42,22 @@
     raise TypeError(f"unknown dialect {dialect!r}")
 
 
-@path.register
+@call_path.register
 def _(dialect: EngineDialect, call: StageCall) -> str:
     return "/v1/" + call.stage.work
 
 
-@path.register
+@call_path.register
 def _(dialect: ServiceDialect, call: StageCall) -> str:
     return "/" + call.stage.name
 
 
-@names_attempts.register
+@requires_attempt.register
 def _(dialect: EngineDialect) -> bool:
     return True
 
 
-@names_attempts.register
+@requires_attempt.register
 def _(dialect: ServiceDialect) -> bool:
     return False
 
--- a/packages/entry/src/mountladder_entry/httpbackend.py
+++ b/packages/entry/src/mountladder_entry/httpbackend.py
@@ -27,10 +27,10 @@
     ATTEMPT_HEADER,
     LOAD_HEADER,
     REFUSED_HEADER,
+    call_path,
     cancel_path,
     dialect_of,
-    names_attempts,
-    path,
+    requires_attempt,
 )
 
 CONNECT_SECONDS = 1.0
@@ -38,7 +38,7 @@
 POOLS = 256
 POOL_SIZE = 64
 READ_BYTES = 65_536
-MOST_RESULT_BYTES = 8 * 1024 * 1024
+MAX_RESULT_BYTES = 8 * 1024 * 1024
 _NOT_SENT = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
 
 
@@ -61,7 +61,7 @@
         response = self.open(server, call, call.deadline - self.clock.now(), False)
         try:
             data = self.read(response, call.deadline - self.clock.now())
-            if len(data) > MOST_RESULT_BYTES:
+            if len(data) > MAX_RESULT_BYTES:
                 raise StageError("a result is too long", Code.BAD_ANSWER)
             json.loads(data)
         except ValueError as error:
@@ -78,10 +78,10 @@
         reader = EventReader(call.tokens_held)
         response = self.open(server, call, call.first_ms, True)
         load = _load(response)
-        pieces = self.pieces(response, call)
+        parts = self.read_parts(response, call)
         try:
             while not reader.ended:
-                data = next(pieces, b"")
+                data = next(parts, b"")
                 if not data:
                     raise StageError("the stream is incomplete", Code.STREAM_CUT)
                 chunk = reader.feed(data, load)
@@ -93,7 +93,7 @@
         response.drain_conn()
         response.release_conn()
 
-    def pieces(self, response: urllib3.BaseHTTPResponse, call: StageCall) -> Iterator[bytes]:
+    def read_parts(self, response: urllib3.BaseHTTPResponse, call: StageCall) -> Iterator[bytes]:
         """Yield the parts of a stream's body as they arrive, while they arrive in time.
 
         The socket's timeout limits the time between two parts, which costs less than a timer for
@@ -102,18 +102,18 @@
         body = response.stream(READ_BYTES)
         connection = response.connection
         socket = connection.sock if connection is not None else None
-        patience = call.first_ms
-        limit = call.deadline - self.clock.now()
-        while limit > 0:
+        timeout_ms = call.first_ms
+        remaining_ms = call.deadline - self.clock.now()
+        while remaining_ms > 0:
             try:
                 if socket is not None:
-                    socket.settimeout(min(patience, limit) / 1000.0)
-                piece = next(body, b"")
+                    socket.settimeout(min(timeout_ms, remaining_ms) / 1000.0)
+                part = next(body, b"")
             except (urllib3.exceptions.HTTPError, OSError) as error:
-                raise _broken(error) from error
-            patience = call.stall_ms
-            yield piece
-            limit = call.deadline - self.clock.now()
+                raise _read_error(error) from error
+            timeout_ms = call.stall_ms
+            yield part
+            remaining_ms = call.deadline - self.clock.now()
         raise StageError("the deadline passed during the stream", Code.STAGE_STALLED)
 
     def open(
@@ -121,7 +121,7 @@
     ) -> urllib3.BaseHTTPResponse:
         """Send a call and return the answer once its head is read and checked."""
         dialect = dialect_of(server)
-        url = f"http://{server.address}{path(dialect, call)}"
+        url = f"http://{server.address}{call_path(dialect, call)}"
         headers = self.headers(call, stream)
         timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=None)
         try:
@@ -141,7 +141,7 @@
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise StageError(f"{url}: {error}", Code.STREAM_CUT) from error
         try:
-            self.check(response, call, names_attempts(dialect), url)
+            self.check(response, call, requires_attempt(dialect), url)
         except StageError:
             response.close()
             raise
@@ -163,11 +163,11 @@
         return headers
 
     def check(
-        self, response: urllib3.BaseHTTPResponse, call: StageCall, named: bool, url: str
+        self, response: urllib3.BaseHTTPResponse, call: StageCall, attempt_required: bool, url: str
     ) -> None:
         """Check the head of an answer."""
         attempt = response.headers.get(ATTEMPT_HEADER)
-        if attempt != call.attempt and (named or attempt is not None):
+        if attempt != call.attempt and (attempt_required or attempt is not None):
             detail = f"{url}: the answer is for attempt {attempt!r}"
             raise StageError(detail, Code.FOREIGN_ANSWER)
         refused = response.headers.get(REFUSED_HEADER)
@@ -190,7 +190,7 @@
         except WaitTimeoutError as error:
             raise StageError("no data came in time", Code.STAGE_STALLED) from error
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise _broken(error) from error
+            raise _read_error(error) from error
 
     def refuses(self, server: BackendServer) -> bool:
         """Return whether a server's address refuses connections; see Backend."""
@@ -205,14 +205,17 @@
 
     def cancel(self, server: BackendServer, attempt: str) -> None:
         """Ask a server to stop an attempt; see Backend."""
-        where = cancel_path(dialect_of(server))
-        if not where:
+        cancel_target = cancel_path(dialect_of(server))
+        if not cancel_target:
             return
         body = json.dumps({"attempt": attempt}).encode()
         try:
             with self.clock.limit(CANCEL_MS):
                 self.pool.request(
-                    "POST", f"http://{server.address}{where}", body=body, timeout=CONNECT_SECONDS
+                    "POST",
+                    f"http://{server.address}{cancel_target}",
+                    body=body,
+                    timeout=CONNECT_SECONDS,
                 )
         except (urllib3.exceptions.HTTPError, WaitTimeoutError, OSError):
             return
@@ -222,7 +225,7 @@
         self.pool.clear()
 
 
-def _broken(error: Exception) -> StageError:
+def _read_error(error: Exception) -> StageError:
     if isinstance(error, (urllib3.exceptions.ReadTimeoutError, TimeoutError)):
         return StageError("no data came in time", Code.STAGE_STALLED)
     return StageError(f"reading the answer failed: {error}", Code.STREAM_CUT)
--- a/packages/entry/src/mountladder_entry/httpclient.py
+++ b/packages/entry/src/mountladder_entry/httpclient.py
@@ -49,7 +49,7 @@
         path: str,
         body: bytes | None = None,
         fields: Mapping[str, str] | None = None,
-        missing: bool = False,
+        allow_missing: bool = False,
         headers: Mapping[str, str] | None = None,
         answer_ms: float | None = None,
     ) -> urllib3.BaseHTTPResponse:
@@ -60,7 +60,7 @@
             path: The path below the base URL.
             body: The body, or None.
             fields: The query.
-            missing: Whether the answer 404 is expected.
+            allow_missing: Whether the answer 404 is expected.
             headers: Further headers.
             answer_ms: The timeout of this answer, or None for the client's.
 
@@ -78,7 +78,7 @@
             raise StoreUnavailableError(f"{url}: cannot be reached") from error
         except (urllib3.exceptions.HTTPError, WaitTimeoutError, OSError) as error:
             raise StoreAmbiguousError(f"{url}: no answer: {error}") from error
-        _check(response, url, missing)
+        _check(response, url, allow_missing)
         return response
 
     def read(
@@ -93,7 +93,7 @@
             StoreUnavailableError: The service gave no answer.
         """
         try:
-            return self.call("GET", path, fields=fields, missing=True, answer_ms=answer_ms)
+            return self.call("GET", path, fields=fields, allow_missing=True, answer_ms=answer_ms)
         except StoreAmbiguousError as error:
             raise StoreUnavailableError(error.detail) from error
 
@@ -114,10 +114,10 @@
         raise BadRowError(f"an answer of the platform is not JSON: {error}") from error
 
 
-def _check(response: urllib3.BaseHTTPResponse, url: str, missing: bool) -> None:
+def _check(response: urllib3.BaseHTTPResponse, url: str, allow_missing: bool) -> None:
     if response.status in {429, 503}:
         raise StoreUnavailableError(f"{url}: refused with status {response.status}")
     if response.status >= 500:
         raise StoreAmbiguousError(f"{url}: answered with status {response.status}")
-    if response.status == 404 and not missing:
+    if response.status == 404 and not allow_missing:
         raise BadRowError(f"{url}: not found")
--- a/packages/entry/src/mountladder_entry/logqueue.py
+++ b/packages/entry/src/mountladder_entry/logqueue.py
@@ -18,9 +18,9 @@
 
 # Further lines are dropped and counted. At 1 KB a line the queue takes at most 4 MB of memory while
 # the output is not read.
-MOST_LINES = 4_000
+MAX_LINES = 4_000
 # Lines that are joined into one write; a request logs about five.
-MOST_LINES_A_BATCH = 200
+MAX_BATCH_LINES = 200
 
 
 class LogQueue:
@@ -44,7 +44,7 @@
 
     def __call__(self, message: dict[str, object]) -> None:
         """Queue a message; eliot calls this as a destination."""
-        if len(self.lines) >= MOST_LINES:
+        if len(self.lines) >= MAX_LINES:
             self.dropped += 1
             self.metrics.count(Metric.DROPPED_LINES)
             return
@@ -62,18 +62,18 @@
             self.ready.wait()
             self.ready.clear()
             while self.lines:
-                self.write(self.take())
+                self.write(self.next_batch())
 
-    def take(self) -> bytes:
+    def next_batch(self) -> bytes:
         """Return the next lines, after one that reports the lines dropped before them."""
-        taken = []
+        batch = []
         if self.dropped:
             note = {"message_type": "log-lines-dropped", "lines": self.dropped}
-            taken.append(json.dumps(note).encode() + b"\n")
+            batch.append(json.dumps(note).encode() + b"\n")
             self.dropped = 0
-        while self.lines and len(taken) < MOST_LINES_A_BATCH:
-            taken.append(self.lines.popleft())
-        return b"".join(taken)
+        while self.lines and len(batch) < MAX_BATCH_LINES:
+            batch.append(self.lines.popleft())
+        return b"".join(batch)
 
     def write(self, data: bytes) -> None:
         """Write all bytes, waiting while the descriptor is not writable."""
@@ -88,6 +88,6 @@
             self.writer.kill()
         try:
             while self.lines:
-                gevent_os.nb_write(self.descriptor, self.take())
+                gevent_os.nb_write(self.descriptor, self.next_batch())
         except OSError:
             self.lines.clear()
--- a/packages/entry/src/mountladder_entry/node.py
+++ b/packages/entry/src/mountladder_entry/node.py
@@ -19,10 +19,10 @@
 from mountladder.store.platform import Platform
 from mountladder_entry.application import make_application
 from mountladder_entry.connection import Connection
-from mountladder_entry.quietlog import QuietLog
 from mountladder_entry.relay import Relay
+from mountladder_entry.weberrorlog import WebErrorLog
 
-MOST_CONNECTIONS = 2_000
+MAX_CONNECTIONS = 2_000
 STOP_SECONDS = 0.5
 
 
@@ -61,9 +61,9 @@
             listener(self.settings.web),
             make_application(self),
             log=None,
-            error_log=QuietLog(),
+            error_log=WebErrorLog(),
             handler_class=Connection,
-            spawn=MOST_CONNECTIONS,
+            spawn=MAX_CONNECTIONS,
         )
         self.web.start()
         self.stack.callback(self.web.stop, STOP_SECONDS)
--- a/packages/entry/src/mountladder_entry/operators.py
+++ b/packages/entry/src/mountladder_entry/operators.py
@@ -16,7 +16,7 @@
 from mountladder.code import Code
 from mountladder.errors import MountladderError, RefusalError
 from mountladder.requests.gateway import problem
-from mountladder_entry.bearer import bears
+from mountladder_entry.bearer import has_token
 
 if TYPE_CHECKING:
     from mountladder_entry.node import Node
@@ -26,18 +26,18 @@
     """Add the routes for the load balancer and for operators to an application."""
     app.get("/healthz", callback=lambda: {"healthy": True})
     app.get("/readyz", callback=lambda: readiness(node))
-    app.get("/ops/status", callback=lambda: guarded(node, lambda: status(node)))
-    app.get("/ops/servers", callback=lambda: guarded(node, lambda: servers(node)))
+    app.get("/ops/status", callback=lambda: authorized(node, lambda: status(node)))
+    app.get("/ops/servers", callback=lambda: authorized(node, lambda: servers(node)))
     app.get(
         "/ops/explain/<request>",
-        callback=lambda request: guarded(node, lambda: explain(node, request)),
+        callback=lambda request: authorized(node, lambda: explain(node, request)),
     )
 
 
-def guarded(node: Node, page: Callable[[], dict[str, object]]) -> object:
+def authorized(node: Node, page: Callable[[], dict[str, object]]) -> object:
     """Return a page if the request carries the operator's token, or else a problem document."""
     try:
-        if not bears(node.settings.operator_token):
+        if not has_token(node.settings.operator_token):
             raise RefusalError("the operator's token is wrong", Code.UNAUTHENTICATED)
         return page()
     except MountladderError as error:
@@ -63,7 +63,7 @@
         "revision": node.follower.configuration.revision,
         "configuration_age_ms": None if age == float("inf") else round(age),
         "rank": node.membership.rank(),
-        "peers": [asdict(one) for one in node.membership.live() if one != node.me],
+        "peers": [asdict(peer) for peer in node.membership.live() if peer != node.me],
         "running": node.admission.total,
         "waiting": len(node.admission.waiting),
         "store_reads": node.follower.reads,
--- a/packages/entry/src/mountladder_entry/quarantinepages.py
+++ b/packages/entry/src/mountladder_entry/quarantinepages.py
@@ -14,7 +14,7 @@
 from mountladder.errors import RefusalError
 from mountladder.quarantine.quarantine import Quarantine
 from mountladder.quarantine.suspicion import Suspicion
-from mountladder_entry.bearer import bears
+from mountladder_entry.bearer import has_token
 
 
 def install(app: bottle.Bottle, quarantine: Quarantine, token: str) -> None:
@@ -25,17 +25,17 @@
         quarantine: The instance's quarantine.
         token: The bearer token that calls need.
     """
-    app.get("/quarantine", callback=lambda: guarded(token, lambda: listed(quarantine)))
+    app.get("/quarantine", callback=lambda: authorized(token, lambda: list_suspects(quarantine)))
     app.delete(
         "/quarantine/<fingerprint>",
-        callback=lambda fingerprint: guarded(token, lambda: lift(quarantine, fingerprint)),
+        callback=lambda fingerprint: authorized(token, lambda: lift(quarantine, fingerprint)),
     )
 
 
-def guarded(token: str, page: Callable[[], dict[str, object]]) -> dict[str, object]:
+def authorized(token: str, page: Callable[[], dict[str, object]]) -> dict[str, object]:
     """Return a page if the request carries the token, or else an error."""
     try:
-        if not bears(token):
+        if not has_token(token):
             raise RefusalError("the token is wrong", Code.UNAUTHENTICATED)
         return page()
     except RefusalError as error:
@@ -43,12 +43,12 @@
         return {"code": error.code.number, "detail": error.detail}
 
 
-def listed(quarantine: Quarantine) -> dict[str, object]:
+def list_suspects(quarantine: Quarantine) -> dict[str, object]:
     """Return every suspect: a request that servers crashed under, the latest first."""
     now = quarantine.clock.now()
-    suspects = [one for one in quarantine.suspicions.values() if one.is_suspect]
-    suspects.sort(key=lambda one: one.changed_at, reverse=True)
-    return {"suspects": [_row(one, now) for one in suspects]}
+    suspects = [suspicion for suspicion in quarantine.suspicions.values() if suspicion.is_suspect]
+    suspects.sort(key=lambda suspicion: suspicion.changed_at, reverse=True)
+    return {"suspects": [_row(suspicion, now) for suspicion in suspects]}
 
 
 def lift(quarantine: Quarantine, fingerprint: str) -> dict[str, object]:
@@ -66,9 +66,9 @@
     return {
         "fingerprint": suspicion.fingerprint,
         "service": suspicion.service,
-        "servers": [one.server for one in suspicion.crashes],
-        "ran_ms": [round(one.ran_ms) for one in suspicion.crashes],
-        "ended_ms_ago": [round(now - one.at) for one in suspicion.crashes],
+        "servers": [crash.server for crash in suspicion.crashes],
+        "ran_ms": [round(crash.ran_ms) for crash in suspicion.crashes],
+        "ended_ms_ago": [round(now - crash.at) for crash in suspicion.crashes],
         "bars": suspicion.bars,
         "barred_for_ms": round(max(0.0, suspicion.barred_until - now)),
     }
--- a/packages/entry/src/mountladder_entry/relay.py
+++ b/packages/entry/src/mountladder_entry/relay.py
@@ -17,12 +17,12 @@
 from mountladder.metrics.metric import Metric
 from mountladder.metrics.metrics import Metrics
 from mountladder.requests.request import Request
-from mountladder_entry.relayed import Relayed
+from mountladder_entry.relayedanswer import RelayedAnswer
 
 HOP_HEADER = "X-Mountladder-Hop"
 CONNECT_SECONDS = 1.0
-MARGIN_SECONDS = 0.5
-_PASSED_ON = ("Authorization", "Idempotency-Key", "Accept", "Content-Type")
+ANSWER_MARGIN_SECONDS = 0.5
+_FORWARDED_HEADERS = ("Authorization", "Idempotency-Key", "Accept", "Content-Type")
 
 
 class Relay:
@@ -40,12 +40,14 @@
         self.metrics = metrics
         self.pool = urllib3.PoolManager(num_pools=64, maxsize=32, retries=False)
 
-    def ask(self, home: IssuedKey, request: Request, caller: bottle.BaseRequest) -> Relayed | None:
+    def forward(
+        self, issued_key: IssuedKey, request: Request, caller: bottle.BaseRequest
+    ) -> RelayedAnswer | None:
         """Relay a request; return None if the instance that issued its key cannot be reached."""
-        instance = self.membership.find(home.incarnation)
+        instance = self.membership.find(issued_key.incarnation)
         if instance is None:
             return None
-        headers = {name: caller.get_header(name, "") for name in _PASSED_ON}
+        headers = {name: caller.get_header(name, "") for name in _FORWARDED_HEADERS}
         headers[HOP_HEADER] = "1"
         body = b'{"input":%b,"idempotent":%b,"deadline_ms":%d}' % (
             request.input,
@@ -53,7 +55,7 @@
             max(1, int(request.deadline - self.clock.now())),
         )
         remaining = max(0.0, request.deadline - self.clock.now()) / 1000.0
-        timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=remaining + MARGIN_SECONDS)
+        timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=remaining + ANSWER_MARGIN_SECONDS)
         url = f"http://{instance.web}/v1/pipelines/{request.pipeline.name}"
         try:
             response = self.pool.request(
@@ -62,20 +64,20 @@
         except (urllib3.exceptions.HTTPError, OSError):
             return None
         self.metrics.count(Metric.RELAYED)
-        return Relayed(response.status, response.headers, _pieces(response))
+        return RelayedAnswer(response.status, response.headers, _body_parts(response))
 
     def close(self) -> None:
         """Close every connection."""
         self.pool.clear()
 
 
-def _pieces(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    ended = False
+def _body_parts(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+    finished = False
     try:
         yield from response.stream()
-        ended = True
+        finished = True
     finally:
-        if ended:
+        if finished:
             response.release_conn()
         else:
             response.close()
--- a/packages/entry/src/mountladder_entry/relayed.py
+++ b/packages/entry/src/mountladder_entry/relayedanswer.py
@@ -1,4 +1,4 @@
-# relayed.py -- The answer of another instance to a relayed request
+# relayedanswer.py -- The answer of another instance to a relayed request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Relayed:
+class RelayedAnswer:
     """The answer of another instance to a relayed request.
 
     Attributes:
--- a/packages/entry/src/mountladder_entry/standalone.py
+++ b/packages/entry/src/mountladder_entry/standalone.py
@@ -28,7 +28,7 @@
 from mountladder_entry.platform import http_platform
 
 EXIT_SETTINGS = 2
-EXIT_CUT = 3
+EXIT_ABORTED = 3
 
 
 def run(path: Path, check: bool) -> int:
@@ -41,7 +41,7 @@
         return 0
     to_file(sys.stderr)
     with ExitStack() as stack:
-        return EXIT_CUT if serve(settings, stack) else 0
+        return EXIT_ABORTED if serve(settings, stack) else 0
 
 
 def load(path: Path) -> Settings | None:
@@ -64,21 +64,21 @@
     stack.callback(engines.close)
     metrics = make_metrics(settings, stack)
     node = Node(settings, clock, platform, backend, metrics, engines=engines)
-    asked = Event()
-    gevent.signal_handler(signal.SIGTERM, take_signal, asked, node)
-    gevent.signal_handler(signal.SIGINT, take_signal, asked, node)
+    stop_requested = Event()
+    gevent.signal_handler(signal.SIGTERM, handle_signal, stop_requested, node)
+    gevent.signal_handler(signal.SIGINT, handle_signal, stop_requested, node)
     node.start()
-    asked.wait()
+    stop_requested.wait()
     return node.stop()
 
 
-def take_signal(asked: Event, node: Node) -> None:
+def handle_signal(stop_requested: Event, node: Node) -> None:
     """Shut down gracefully at the first signal and exit at the second."""
-    if asked.is_set():
+    if stop_requested.is_set():
         running = [name for name, number in node.admission.running.items() if number]
         log_message("stopped-at-once", aborted=node.admission.total, teams=running)
-        sys.exit(EXIT_CUT)
-    asked.set()
+        sys.exit(EXIT_ABORTED)
+    stop_requested.set()
 
 
 def make_metrics(settings: Settings, stack: ExitStack) -> Metrics:
--- a/packages/entry/src/mountladder_entry/quietlog.py
+++ b/packages/entry/src/mountladder_entry/weberrorlog.py
@@ -1,4 +1,4 @@
-# quietlog.py -- Logs the web server's error messages
+# weberrorlog.py -- Logs the web server's error messages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -9,7 +9,7 @@
 from eliot import log_message
 
 
-class QuietLog:
+class WebErrorLog:
     """Writes the web server's error messages to the log as JSON lines."""
 
     def write(self, text: str) -> None:
