--- a/packages/entry/src/mountladder_entry/connection.py
+++ b/packages/entry/src/mountladder_entry/connection.py
@@ -1,29 +1,29 @@
-# connection.py -- One connection of a caller
+# connection.py -- A caller's connection with a timeout
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One connection of a caller."""
+"""A caller's connection with a timeout."""
 
 from __future__ import annotations
 
 from gevent.pywsgi import WSGIHandler
 
-SILENCE_SECONDS = 30.0
+IO_TIMEOUT_SECONDS = 30.0
 
 
 class Connection(WSGIHandler):
     """Serves one connection, and drops a caller that neither reads nor writes for long.
 
-    Without this a caller that stops reading a stream would hold its place here and its slot at
-    the backend server for ever.
+    Without the timeout a caller that stops reading a stream would occupy a connection here and a
+    slot of the backend server for ever.
 
     Attributes:
-        silence_seconds: How long a read or a write may take.
+        timeout_seconds: The timeout of a read or a write.
     """
 
-    silence_seconds = SILENCE_SECONDS
+    timeout_seconds = IO_TIMEOUT_SECONDS
 
     def handle(self) -> None:
         """Serve the connection until it ends."""
-        self.socket.settimeout(self.silence_seconds)
+        self.socket.settimeout(self.timeout_seconds)
         super().handle()
--- a/packages/entry/src/mountladder_entry/dialect.py
+++ b/packages/entry/src/mountladder_entry/dialect.py
@@ -1,8 +1,8 @@
-# dialect.py -- Differences between kinds of backend server
+# dialect.py -- The protocols of the kinds of backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Differences between kinds of backend server."""
+"""The protocols of the kinds of backend server."""
 
 from __future__ import annotations
 
@@ -25,39 +25,39 @@
 
 
 @singledispatch
-def path(dialect: object, call: StageCall) -> str:
+def call_path(dialect: object, call: StageCall) -> str:
     """Return the path that a call is sent to."""
     raise TypeError(f"unknown dialect {dialect!r}")
 
 
 @singledispatch
-def names_attempts(dialect: object) -> bool:
-    """Tell whether every answer must carry the attempt's id."""
+def requires_attempt(dialect: object) -> bool:
+    """Return whether every answer must carry the id of its attempt."""
     raise TypeError(f"unknown dialect {dialect!r}")
 
 
 @singledispatch
 def cancel_path(dialect: object) -> str:
-    """Return the path by which calls are cancelled, or an empty string."""
+    """Return the path of cancel requests, or an empty string if calls cannot be cancelled."""
     raise TypeError(f"unknown dialect {dialect!r}")
 
 
-@path.register
+@call_path.register
 def _(dialect: EngineDialect, call: StageCall) -> str:
     return "/v1/" + call.stage.work
 
 
-@path.register
+@call_path.register
 def _(dialect: ServiceDialect, call: StageCall) -> str:
     return "/" + call.stage.name
 
 
-@names_attempts.register
+@requires_attempt.register
 def _(dialect: EngineDialect) -> bool:
     return True
 
 
-@names_attempts.register
+@requires_attempt.register
 def _(dialect: ServiceDialect) -> bool:
     return False
 
--- a/packages/entry/src/mountladder_entry/httpclient.py
+++ b/packages/entry/src/mountladder_entry/httpclient.py
@@ -1,8 +1,8 @@
-# httpclient.py -- HTTP calls with a limit on their time
+# httpclient.py -- An HTTP client with timeouts for the platform's services
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""HTTP calls with a limit on their time."""
+"""An HTTP client with timeouts for the platform's services."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class HttpClient:
-    """Calls to the platform over HTTP.
+    """Calls the platform's services over HTTP.
 
     Args:
         base: The base URL.
-        clock: The clock on which a call is limited.
-        answer_ms: How long an answer may take.
+        clock: The clock that times calls out.
+        answer_ms: The timeout of an answer.
     """
 
     def __init__(self, base: str, clock: Clock, answer_ms: float = ANSWER_MS) -> None:
@@ -49,23 +49,23 @@
         path: str,
         body: bytes | None = None,
         fields: Mapping[str, str] | None = None,
-        missing: bool = False,
+        allow_missing: bool = False,
         headers: Mapping[str, str] | None = None,
         answer_ms: float | None = None,
     ) -> urllib3.BaseHTTPResponse:
-        """Make a call and return its answer, whose body is read.
+        """Make a call and return its answer with the whole body.
 
         Args:
             method: The HTTP method.
             path: The path below the base URL.
             body: The body, or None.
             fields: The query.
-            missing: Whether the answer 404 is expected.
+            allow_missing: Whether the answer 404 is expected.
             headers: Further headers.
-            answer_ms: How long the answer may take, where it is not the usual time.
+            answer_ms: The timeout of this answer, or None for the client's.
 
         Raises:
-            StoreUnavailableError: The service refused or cannot be reached; nothing was done.
+            StoreUnavailableError: The service refused or cannot be reached; nothing was changed.
             StoreAmbiguousError: No answer came; the call may have been carried out.
         """
         url = self.base + path
@@ -78,7 +78,7 @@
             raise StoreUnavailableError(f"{url}: cannot be reached") from error
         except (urllib3.exceptions.HTTPError, WaitTimeoutError, OSError) as error:
             raise StoreAmbiguousError(f"{url}: no answer: {error}") from error
-        _check(response, url, missing)
+        _check(response, url, allow_missing)
         return response
 
     def read(
@@ -87,13 +87,13 @@
         fields: Mapping[str, str] | None = None,
         answer_ms: float | None = None,
     ) -> urllib3.BaseHTTPResponse:
-        """Make a call that changes nothing.
+        """Make a read-only call.
 
         Raises:
             StoreUnavailableError: The service gave no answer.
         """
         try:
-            return self.call("GET", path, fields=fields, missing=True, answer_ms=answer_ms)
+            return self.call("GET", path, fields=fields, allow_missing=True, answer_ms=answer_ms)
         except StoreAmbiguousError as error:
             raise StoreUnavailableError(error.detail) from error
 
@@ -114,10 +114,10 @@
         raise BadRowError(f"an answer of the platform is not JSON: {error}") from error
 
 
-def _check(response: urllib3.BaseHTTPResponse, url: str, missing: bool) -> None:
+def _check(response: urllib3.BaseHTTPResponse, url: str, allow_missing: bool) -> None:
     if response.status in {429, 503}:
         raise StoreUnavailableError(f"{url}: refused with status {response.status}")
     if response.status >= 500:
         raise StoreAmbiguousError(f"{url}: answered with status {response.status}")
-    if response.status == 404 and not missing:
+    if response.status == 404 and not allow_missing:
         raise BadRowError(f"{url}: not found")
--- a/packages/entry/src/mountladder_entry/node.py
+++ b/packages/entry/src/mountladder_entry/node.py
@@ -19,10 +19,10 @@
 from mountladder.store.platform import Platform
 from mountladder_entry.application import make_application
 from mountladder_entry.connection import Connection
-from mountladder_entry.quietlog import QuietLog
 from mountladder_entry.relay import Relay
+from mountladder_entry.weberrorlog import WebErrorLog
 
-MOST_CONNECTIONS = 2_000
+MAX_CONNECTIONS = 2_000
 STOP_SECONDS = 0.5
 
 
@@ -32,11 +32,11 @@
     Args:
         settings: The settings.
         clock: The clock.
-        platform: The platform's services.
+        platform: The platform's table, object store and list of instances.
         backend: Calls backend servers.
-        metrics: Where metrics go.
-        seed: The seed of its random numbers, or None for a different one each time.
-        engines: Reads and orders engines, or None to send no orders.
+        metrics: Records metrics.
+        seed: The seed of its random numbers, or None for a random one.
+        engines: Reads engines and sends them orders, or None to send no orders.
     """
 
     def __init__(
@@ -61,9 +61,9 @@
             listening_socket(self.settings.web),
             make_application(self),
             log=None,
-            error_log=QuietLog(),
+            error_log=WebErrorLog(),
             handler_class=Connection,
-            spawn=MOST_CONNECTIONS,
+            spawn=MAX_CONNECTIONS,
         )
         self.web.start()
         self.stack.callback(self.web.stop, STOP_SECONDS)
--- a/packages/entry/src/mountladder_entry/operators.py
+++ b/packages/entry/src/mountladder_entry/operators.py
@@ -16,28 +16,28 @@
 from mountladder.code import Code
 from mountladder.errors import MountladderError, RefusalError
 from mountladder.requests.gateway import problem
-from mountladder_entry.bearer import bears
+from mountladder_entry.bearer import has_token
 
 if TYPE_CHECKING:
     from mountladder_entry.node import Node
 
 
 def install(app: bottle.Bottle, node: Node) -> None:
-    """Add the balancer's and the operators' routes to an application."""
+    """Add the routes for the load balancer and for operators to an application."""
     app.get("/healthz", callback=lambda: {"healthy": True})
     app.get("/readyz", callback=lambda: readiness(node))
-    app.get("/ops/status", callback=lambda: guarded(node, lambda: status(node)))
-    app.get("/ops/servers", callback=lambda: guarded(node, lambda: servers(node)))
+    app.get("/ops/status", callback=lambda: authorized(node, lambda: status(node)))
+    app.get("/ops/servers", callback=lambda: authorized(node, lambda: servers(node)))
     app.get(
         "/ops/explain/<request>",
-        callback=lambda request: guarded(node, lambda: explain(node, request)),
+        callback=lambda request: authorized(node, lambda: explain(node, request)),
     )
 
 
-def guarded(node: Node, page: Callable[[], dict[str, object]]) -> object:
-    """Return a page to an operator, or a problem document."""
+def authorized(node: Node, page: Callable[[], dict[str, object]]) -> object:
+    """Return a page if the request carries the operator's token, or else a problem document."""
     try:
-        if not bears(node.settings.operator_token):
+        if not has_token(node.settings.operator_token):
             raise RefusalError("the operator's token is wrong", Code.UNAUTHENTICATED)
         return page()
     except MountladderError as error:
@@ -47,14 +47,14 @@
 
 
 def readiness(node: Node) -> dict[str, object]:
-    """Tell the balancer whether to send requests here."""
+    """Answer the load balancer's readiness check."""
     if not node.ready:
         bottle.response.status = 503
     return {"ready": node.ready}
 
 
 def status(node: Node) -> dict[str, object]:
-    """Return what the instance is and does."""
+    """Return the instance's state and counters."""
     age = node.follower.age_ms()
     counts = getattr(node.metrics, "counts", {})
     return {
@@ -63,7 +63,7 @@
         "revision": node.follower.configuration.revision,
         "configuration_age_ms": None if age == float("inf") else round(age),
         "rank": node.membership.rank(),
-        "peers": [asdict(one) for one in node.membership.live() if one != node.me],
+        "peers": [asdict(peer) for peer in node.membership.live() if peer != node.me],
         "running": node.admission.total,
         "waiting": len(node.admission.waiting),
         "store_reads": node.follower.reads,
@@ -74,7 +74,7 @@
 
 
 def servers(node: Node) -> dict[str, object]:
-    """Return for each backend server whether it gets work from this instance, and why not."""
+    """Return the state of each backend server, and why it gets no work if it does not."""
     now = node.clock.now()
     rows = []
     for server in node.follower.configuration.of_kind("server"):
@@ -99,13 +99,13 @@
 
 
 def explain(node: Node, request: str) -> dict[str, object]:
-    """Return what happened to a request.
+    """Return the trace of a request.
 
     Raises:
-        RefusalError: The instance knows nothing of it.
+        RefusalError: The instance has no trace of it.
     """
     trace = node.traces.find(request)
     if trace is None:
-        raise RefusalError(f"nothing is known of request {request!r}", Code.NOT_FOUND)
+        raise RefusalError(f"there is no trace of request {request!r}", Code.NOT_FOUND)
     entries = json.loads(json.dumps([asdict(entry) for entry in trace.entries]))
     return {"request": request, "revision": trace.revision, "entries": entries}
--- a/packages/entry/src/mountladder_entry/quarantinepages.py
+++ b/packages/entry/src/mountladder_entry/quarantinepages.py
@@ -1,8 +1,8 @@
-# quarantinepages.py -- Operators' pages about requests that end servers
+# quarantinepages.py -- The HTTP interface for operators to the quarantine
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Operators' pages about requests that end servers."""
+"""The HTTP interface for operators to the quarantine."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from mountladder.errors import RefusalError
 from mountladder.quarantine.quarantine import Quarantine
 from mountladder.quarantine.suspicion import Suspicion
-from mountladder_entry.bearer import bears
+from mountladder_entry.bearer import has_token
 
 
 def install(app: bottle.Bottle, quarantine: Quarantine, token: str) -> None:
@@ -22,20 +22,20 @@
 
     Args:
         app: The application.
-        quarantine: The instance's book.
-        token: What whoever calls them has to bear.
+        quarantine: The instance's quarantine.
+        token: The bearer token that calls need.
     """
-    app.get("/quarantine", callback=lambda: guarded(token, lambda: listed(quarantine)))
+    app.get("/quarantine", callback=lambda: authorized(token, lambda: list_suspects(quarantine)))
     app.delete(
         "/quarantine/<fingerprint>",
-        callback=lambda fingerprint: guarded(token, lambda: lift(quarantine, fingerprint)),
+        callback=lambda fingerprint: authorized(token, lambda: lift(quarantine, fingerprint)),
     )
 
 
-def guarded(token: str, page: Callable[[], dict[str, object]]) -> dict[str, object]:
-    """Return a page to an operator, or why there is none."""
+def authorized(token: str, page: Callable[[], dict[str, object]]) -> dict[str, object]:
+    """Return a page if the request carries the token, or else an error."""
     try:
-        if not bears(token):
+        if not has_token(token):
             raise RefusalError("the token is wrong", Code.UNAUTHENTICATED)
         return page()
     except RefusalError as error:
@@ -43,22 +43,22 @@
         return {"code": error.code.number, "detail": error.detail}
 
 
-def listed(quarantine: Quarantine) -> dict[str, object]:
-    """Return every request under which servers ended, the latest first."""
+def list_suspects(quarantine: Quarantine) -> dict[str, object]:
+    """Return every suspect: a request that servers crashed under, the latest first."""
     now = quarantine.clock.now()
-    suspects = [one for one in quarantine.suspicions.values() if one.is_suspect]
-    suspects.sort(key=lambda one: one.changed_at, reverse=True)
-    return {"suspects": [_row(one, now) for one in suspects]}
+    suspects = [suspicion for suspicion in quarantine.suspicions.values() if suspicion.is_suspect]
+    suspects.sort(key=lambda suspicion: suspicion.changed_at, reverse=True)
+    return {"suspects": [_row(suspicion, now) for suspicion in suspects]}
 
 
 def lift(quarantine: Quarantine, fingerprint: str) -> dict[str, object]:
-    """Clear a request, on every instance.
+    """Clear a suspect on every instance.
 
     Raises:
-        RefusalError: No server ended under it.
+        RefusalError: The request is not a suspect.
     """
     if not quarantine.lift(fingerprint):
-        raise RefusalError(f"nothing is known against {fingerprint!r}", Code.NOT_FOUND)
+        raise RefusalError(f"{fingerprint!r} is not a suspect", Code.NOT_FOUND)
     return {"cleared": fingerprint}
 
 
@@ -66,9 +66,9 @@
     return {
         "fingerprint": suspicion.fingerprint,
         "service": suspicion.service,
-        "servers": [one.server for one in suspicion.crashes],
-        "ran_ms": [round(one.ran_ms) for one in suspicion.crashes],
-        "ended_ms_ago": [round(now - one.at) for one in suspicion.crashes],
+        "servers": [crash.server for crash in suspicion.crashes],
+        "ran_ms": [round(crash.ran_ms) for crash in suspicion.crashes],
+        "ended_ms_ago": [round(now - crash.at) for crash in suspicion.crashes],
         "bars": suspicion.bars,
         "barred_for_ms": round(max(0.0, suspicion.barred_until - now)),
     }
