--- a/features/documents.feature
+++ b/features/documents.feature
@@ -10,7 +10,7 @@
       | [[model]] name = 7                                           | 4002      | a string        |
       | [[model]] name = "a b"                                       | 4002      | letters         |
       | [[model]] name = "m" ; colour = "red"                        | 4002      | no such key     |
-      | [[model]] name = "m" ; [[model]] name = "m"                  | 4002      | stands twice    |
+      | [[model]] name = "m" ; [[model]] name = "m"                  | 4002      | is defined twice |
       | [[team]] name = "t" ; token_sha256 = "xyz"                   | 4002      | 64 hexadecimal  |
       | [[team]] name = "t" ; token_sha256 = "xyz" ; share = -1      | 4002 4002 | at least        |
       | [[server]] name = "s" ; address = "x" ; datacentre = "a" ; slots = 0 | 4002 | at least 1     |
--- a/packages/core/src/mountladder/accounts/__init__.py
+++ b/packages/core/src/mountladder/accounts/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- What work costs, and whom
+# __init__.py -- Cost accounting
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What work costs, and whom."""
+"""Cost accounting."""
--- a/packages/core/src/mountladder/accounts/amount.py
+++ b/packages/core/src/mountladder/accounts/amount.py
@@ -1,8 +1,8 @@
-# amount.py -- An amount of work and what it cost
+# amount.py -- Calls, their duration and their cost
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An amount of work and what it cost."""
+"""Calls, their duration and their cost."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Amount:
-    """An amount of work.
+    """Calls to backend servers, their duration and their cost.
 
     Attributes:
-        calls: How many calls.
-        ms: Their time on backend servers in milliseconds.
-        cost: What it cost, in the operator's unit.
+        calls: The number of calls.
+        ms: Their total time on backend servers in milliseconds.
+        cost: Their cost, in the operator's unit.
     """
 
     calls: int = 0
--- a/packages/core/src/mountladder/accounts/charge.py
+++ b/packages/core/src/mountladder/accounts/charge.py
@@ -1,8 +1,8 @@
-# charge.py -- One entry of the cost ledger
+# charge.py -- What cost is attributed to
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One entry of the cost ledger."""
+"""What cost is attributed to."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """What time on backend servers is charged to.
+    """What time on backend servers is attributed to.
 
     Attributes:
         team: The team.
         pipeline: The pipeline.
         stage: The stage.
-        accelerator: The generation of accelerator that it ran on.
+        accelerator: The generation of the accelerator; the kind of server if it has none.
         use: "useful", or why the work was wasted: "late", "retried", "cancelled" or "failed".
     """
 
--- a/packages/core/src/mountladder/accounts/ledger.py
+++ b/packages/core/src/mountladder/accounts/ledger.py
@@ -1,8 +1,8 @@
-# ledger.py -- The cost of work by team, pipeline, stage and accelerator
+# ledger.py -- Accumulates cost by team, pipeline, stage and accelerator
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The cost of work by team, pipeline, stage and accelerator."""
+"""Accumulates cost by team, pipeline, stage and accelerator."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class Ledger:
-    """Adds up cost in memory and writes running totals to the platform.
+    """Accumulates cost in memory and writes running totals to the platform's store.
 
-    Each incarnation writes one row with its totals so far, so that sending it again does no harm
-    and at most the time since the last write is lost when an instance dies.
+    Each incarnation of an instance writes one row with its totals so far. Writing it again is
+    therefore harmless, and a crash loses at most the cost since the last write.
 
     Args:
-        incarnation: The incarnation whose totals these are.
+        incarnation: The incarnation of this instance.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -36,17 +36,17 @@
         self.changed = False
 
     def add(self, charge: Charge, server: BackendServer, ms: float) -> None:
-        """Charge some time on a backend server."""
+        """Add the time of one call to a backend server."""
         amount = Amount(1, ms, ms / MS_PER_SECOND * server.price)
         self.totals[charge] = self.totals.get(charge, Amount()).plus(amount)
         self.changed = True
 
     def flush(self, table: Table) -> bool:
-        """Write the totals where they changed; tell whether anything was written.
+        """Write the totals if they changed; return whether they were written.
 
         Raises:
-            StoreUnavailableError: Nothing was written; a later flush writes it all.
-            StoreAmbiguousError: It may have been written; a later flush writes it again.
+            StoreUnavailableError: Nothing was written; a later flush includes it.
+            StoreAmbiguousError: The write may have taken effect; a later flush repeats it.
         """
         if not self.changed:
             return False
@@ -78,10 +78,10 @@
 
 
 def decode_totals(value: bytes) -> dict[Charge, Amount]:
-    """Read totals from the value of a row.
+    """Parse totals from the value of a row.
 
     Raises:
-        BadRowError: The value holds no totals.
+        BadRowError: The value cannot be parsed.
     """
     try:
         return {
@@ -89,15 +89,15 @@
             for entry in json.loads(value)
         }
     except MALFORMED as error:
-        raise BadRowError(f"a row of cost cannot be read: {error}") from error
+        raise BadRowError(f"a cost row cannot be parsed: {error}") from error
 
 
 def read_totals(table: Table) -> dict[Charge, Amount]:
-    """Add up the totals of every incarnation.
+    """Return the sum of the totals of all incarnations.
 
     Raises:
         StoreUnavailableError: The store cannot be reached.
-        BadRowError: A row cannot be read.
+        BadRowError: A row cannot be parsed.
     """
     totals: dict[Charge, Amount] = {}
     after = ""
--- a/packages/core/src/mountladder/clocks/__init__.py
+++ b/packages/core/src/mountladder/clocks/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Time in milliseconds
+# __init__.py -- Clocks and timers, in milliseconds
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Time in milliseconds."""
+"""Clocks and timers, in milliseconds."""
--- a/packages/core/src/mountladder/clocks/clock.py
+++ b/packages/core/src/mountladder/clocks/clock.py
@@ -1,8 +1,8 @@
-# clock.py -- Time in milliseconds
+# clock.py -- Interface of clocks, with waits and time limits
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Time in milliseconds."""
+"""Interface of clocks, with waits and time limits."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Clock(ABC):
-    """A source of time, in milliseconds, on which every wait of the product is built."""
+    """A source of time in milliseconds; all waits and timeouts are based on one."""
 
     @abstractmethod
     def now(self) -> float:
-        """Return a time that never goes back, in milliseconds."""
+        """Return a monotonic time, in milliseconds."""
 
     @abstractmethod
     def wall(self) -> float:
@@ -29,14 +29,14 @@
 
     @abstractmethod
     def call_later(self, delay_ms: float, function: Callable[[], None]) -> Callable[[], None]:
-        """Run a function that does not block after a delay.
+        """Call a function after a delay.
 
         Args:
             delay_ms: The delay in milliseconds.
-            function: What to run.
+            function: The function, which must not block.
 
         Returns:
-            A function that withdraws the call where it has not run yet.
+            A function that cancels the call if it was not made yet.
         """
 
     def sleep(self, delay_ms: float) -> None:
@@ -44,7 +44,7 @@
         self.wait(Event(), delay_ms)
 
     def wait(self, event: Event, delay_ms: float) -> bool:
-        """Wait for an event at most a number of milliseconds; tell whether it was set."""
+        """Wait for an event with a timeout in milliseconds; return whether it was set."""
         if event.is_set():
             return True
         if delay_ms <= 0:
@@ -61,14 +61,14 @@
 
     @contextmanager
     def limit(self, delay_ms: float) -> Iterator[None]:
-        """Raise WaitTimeoutError in the calling task where the block takes too long."""
+        """Raise WaitTimeoutError in the calling task if the block exceeds a time limit."""
         task = gevent.getcurrent()
         loop = gevent.get_hub().loop
         error = WaitTimeoutError(f"took longer than {delay_ms:.0f} ms")
         inside = True
 
         def throw() -> None:
-            """Raise the error where the block still runs."""
+            """Raise the error if the block still runs."""
             if inside:
                 task.throw(error)
 
--- a/packages/core/src/mountladder/clocks/systemclock.py
+++ b/packages/core/src/mountladder/clocks/systemclock.py
@@ -1,8 +1,8 @@
-# systemclock.py -- The clock of the machine
+# systemclock.py -- The machine's clock, including suspensions
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The clock of the machine."""
+"""The machine's clock, including suspensions."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 from mountladder.clocks.clock import Clock
 from mountladder.clocks.timer import MS_PER_SECOND, Timer
 
-# Both clocks are read a moment apart; a machine is suspended for far longer than this.
+# The two clocks are read one after the other, so their difference varies slightly; a suspension
+# takes far longer than this.
 LEAST_SUSPENSION_MS = 50.0
 
 
 class SystemClock(Clock):
     """The machine's clock, waiting on the gevent hub.
 
-    While a machine is suspended its steady clock stands still, and the hub's timers with it, so
-    that whatever has an age would be too young by that time. So time is read from the clock that
-    goes on, and timers that came due meanwhile run as soon as the suspension is noticed: with the
-    next reading, which every message, request and heartbeat brings.
+    While a machine is suspended, its monotonic clock and the hub's timers stand still, so that
+    ages measured by it would be too low by that time. Time is therefore read from the boot-time
+    clock, which includes suspensions. Timers that came due during a suspension fire as soon as it
+    is detected: when the time is next read, as with every message, request and heartbeat.
 
     Args:
-        boot: Returns the seconds since the machine started, suspensions included; None for the
-            machine's own.
-        steady: Returns the same without them.
+        boot: Returns the seconds since the machine started, including suspensions; None for the
+            machine's clock.
+        steady: Returns the same without suspensions.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         self.timers: set[Timer] = set()
 
     def now(self) -> float:
-        """Return the milliseconds since the machine started, suspensions included."""
+        """Return the milliseconds since the machine started, including suspensions."""
         now = self.boot() * MS_PER_SECOND
         suspended_ms = self.read_suspended(now)
         if suspended_ms - self.suspended_ms > LEAST_SUSPENSION_MS:
@@ -54,7 +55,7 @@
         return now
 
     def read_suspended(self, now: float) -> float:
-        """Return for how long the machine has been suspended by now, in milliseconds."""
+        """Return how long the machine was suspended in total, in milliseconds."""
         return now - self.steady() * MS_PER_SECOND
 
     def wall(self) -> float:
@@ -62,14 +63,14 @@
         return time.time() * MS_PER_SECOND
 
     def call_later(self, delay_ms: float, function: Callable[[], None]) -> Callable[[], None]:
-        """Run a function after a delay; see Clock."""
+        """Call a function after a delay; see Clock."""
         delay_ms = max(0.0, delay_ms)
         timer = Timer(self.now() + delay_ms, self.timers, function)
         timer.arm(delay_ms)
         return timer.cancel
 
     def arm_again(self, now: float) -> None:
-        """Set all timers anew by the time that has really passed."""
+        """Restart all timers with the time remaining until they are due."""
         for timer in list(self.timers):
             timer.arm(max(0.0, timer.due - now))
 
--- a/packages/core/src/mountladder/clocks/timer.py
+++ b/packages/core/src/mountladder/clocks/timer.py
@@ -1,8 +1,8 @@
-# timer.py -- A call that is to be made later
+# timer.py -- A delayed call on the gevent hub
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A call that is to be made later."""
+"""A delayed call on the gevent hub."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Timer:
-    """A call that is to be made later on the gevent hub, and may be set anew.
+    """A delayed call on the gevent hub, which can be rescheduled.
 
     Args:
-        due: When it is to be made, in the clock's milliseconds.
-        armed: The timers that are waiting, which it joins and leaves.
-        function: What to call, which does not block.
+        due: When the call is due, in the clock's milliseconds.
+        armed: The set of waiting timers, to which it adds itself while it waits.
+        function: The function to call, which must not block.
     """
 
     __slots__ = ("due", "armed", "function", "watcher")
@@ -31,24 +31,24 @@
         self.watcher = None
 
     def arm(self, delay_ms: float) -> None:
-        """Wait so long on the hub from now on, whatever it waited for before."""
+        """Start the timer, or restart it, with a delay from now."""
         self.stop()
         self.armed.add(self)
         self.watcher = gevent.get_hub().loop.timer(delay_ms / MS_PER_SECOND)
         self.watcher.start(self.fire)
 
     def fire(self) -> None:
-        """Make the call."""
+        """Call the function."""
         self.cancel()
         self.function()
 
     def cancel(self) -> None:
-        """Withdraw the call, where it was not made yet."""
+        """Cancel the call if it was not made yet."""
         self.armed.discard(self)
         self.stop()
 
     def stop(self) -> None:
-        """Take the timer off the hub."""
+        """Remove the timer from the hub."""
         if self.watcher is not None:
             self.watcher.stop()
             self.watcher.close()
--- a/packages/core/src/mountladder/clocks/virtualclock.py
+++ b/packages/core/src/mountladder/clocks/virtualclock.py
@@ -1,8 +1,8 @@
-# virtualclock.py -- A clock that moves on when every task waits
+# virtualclock.py -- Virtual time for simulations
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A clock that moves on when every task waits."""
+"""Virtual time for simulations."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class VirtualClock(Clock):
-    """Virtual time: it stands still while any task can run, then jumps to the next timer."""
+    """A clock that stands still while any task can run, then jumps to the next timer."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -31,20 +31,20 @@
         return self.time
 
     def wall(self) -> float:
-        """Return a wall time that moves with the virtual time."""
+        """Return a wall-clock time that advances with the virtual time."""
         return EPOCH_WALL_MS + self.time
 
     def call_later(self, delay_ms: float, function: Callable[[], None]) -> Callable[[], None]:
-        """Run a function after a virtual delay; see Clock."""
+        """Call a function after a virtual delay; see Clock."""
         number = next(self.numbers)
         heapq.heappush(self.timers, (self.time + max(0.0, delay_ms), number, function))
         return lambda: self.cancelled.add(number)
 
     def run(self, task: gevent.Greenlet) -> object:
-        """Move virtual time on until a task has ended, and return what it returned.
+        """Advance the virtual time until a task finishes, and return its result.
 
         Raises:
-            RuntimeError: Every task waits and no timer is left.
+            RuntimeError: All tasks wait and no timer is set.
         """
         while not task.ready():
             gevent.idle()
@@ -53,7 +53,7 @@
         return task.get()
 
     def advance(self) -> bool:
-        """Fire the next timer; tell whether there was one."""
+        """Fire the next timer; return whether there was one."""
         while self.timers:
             when, number, function = heapq.heappop(self.timers)
             if number in self.cancelled:
--- a/packages/core/src/mountladder/code.py
+++ b/packages/core/src/mountladder/code.py
@@ -16,7 +16,7 @@
 
 
 class Code(Enum):
-    """A result code: its number, class, HTTP status and what it means.
+    """A result code: its number, result class, HTTP status and meaning.
 
     The table in docs/RESULT-CODES.md is checked against this list.
     """
--- a/packages/core/src/mountladder/configuration/__init__.py
+++ b/packages/core/src/mountladder/configuration/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- What operators write, and how an instance follows it
+# __init__.py -- The operators' configuration and an instance's settings
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What operators write, and how an instance follows it."""
+"""The operators' configuration and an instance's settings."""
--- a/packages/core/src/mountladder/configuration/backendserver.py
+++ b/packages/core/src/mountladder/configuration/backendserver.py
@@ -22,12 +22,12 @@
     Attributes:
         serves: "engine" for a model engine, "service" for a plain service.
         address: Its IP number and port.
-        datacentre: The data centre it stands in.
+        datacentre: Its data centre.
         accelerator: The generation of its accelerator, or an empty string.
-        price: What one second of its time costs, in the operator's unit.
-        slots: How many calls it can run at once without queueing.
-        draining: Whether it is to get no new work.
-        models: The models it serves; empty means every model whose selector it meets.
+        price: The cost of one second of its time, in the operator's unit.
+        slots: The number of calls it can run concurrently without queueing.
+        draining: Whether it receives no new work.
+        models: The models it serves; if empty, every model whose selector it matches.
     """
 
     kind: ClassVar[str] = "server"
@@ -42,7 +42,7 @@
 
     @classmethod
     def read(cls, fields: Fields) -> BackendServer:
-        """Read a backend server from its table."""
+        """Parse a backend server from its table."""
         return cls(
             name=fields.text("name"),
             labels=fields.labels("labels"),
@@ -57,11 +57,11 @@
         )
 
     def table(self) -> dict[str, object]:
-        """Return the table it is read from."""
+        """Return the table from which it can be parsed."""
         return asdict(self)
 
     def all_labels(self) -> dict[str, str]:
-        """Return its labels and the built-in ones that selectors may name."""
+        """Return its labels and the built-in labels that selectors may refer to."""
         built_in = {
             "name": self.name,
             "datacentre": self.datacentre,
--- a/packages/core/src/mountladder/configuration/change.py
+++ b/packages/core/src/mountladder/configuration/change.py
@@ -1,8 +1,8 @@
-# change.py -- One accepted change of the configuration
+# change.py -- One revision of the configuration's change log
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One accepted change of the configuration."""
+"""One revision of the configuration's change log."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One entry of the configuration's log.
+    """One entry of the configuration's change log.
 
     Attributes:
-        revision: The revision that it makes, one above the one before.
-        operation: An id that its author chose, by which a lost answer is settled.
-        author: Who made it.
-        at_ms: When, in milliseconds since the Unix epoch, by the author's clock.
+        revision: The resulting revision, one above the previous one.
+        operation: An id chosen by the author, which shows whether the change was accepted if the
+            store's answer was lost.
+        author: The author.
+        at_ms: When it was made, in milliseconds since the Unix epoch, by the author's clock.
         puts: The documents it adds or replaces.
         deletes: The keys of the documents it removes.
     """
@@ -48,7 +49,7 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Change:
-        """Read a change from the value of a row.
+        """Parse a change from the value of a row.
 
         Raises:
             BadRowError: The value is not a change.
@@ -64,4 +65,4 @@
                 deletes=tuple(str(key) for key in table["deletes"]),
             )
         except (*MALFORMED, DocumentError) as error:
-            raise BadRowError(f"a change of the configuration cannot be read: {error}") from error
+            raise BadRowError(f"a change of the configuration cannot be parsed: {error}") from error
--- a/packages/core/src/mountladder/configuration/changelog.py
+++ b/packages/core/src/mountladder/configuration/changelog.py
@@ -1,8 +1,8 @@
-# changelog.py -- The numbered log of configuration changes
+# changelog.py -- The log of configuration changes in the store
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The numbered log of configuration changes."""
+"""The log of configuration changes in the store."""
 
 from __future__ import annotations
 
@@ -31,19 +31,22 @@
 HEAD_KEY = "config/head"
 CHANGE_PREFIX = "config/change/"
 SNAPSHOT_KEY = "config/snapshot"
+# A snapshot is written every so many revisions.
 SNAPSHOT_EVERY = 32
+# Max. number of changes read at once.
 PAGE = 100
+# A commit with an unknown outcome is retried this often, after a pause that doubles each time.
 SETTLE_TRIES = 6
 SETTLE_PAUSE_MS = 200.0
 
 
 class ChangeLog:
-    """Reads and extends the log kept in the platform's table service.
+    """Reads and appends to the change log in the platform's table service.
 
-    The head row names the newest revision. A change is accepted by one transaction that writes
-    its row, which must be absent, and moves the head, which must be unchanged. A lost answer is
-    settled by sending the same transaction again and comparing operation ids, so that a write
-    that is still on its way cannot take effect behind the author's back.
+    The head row holds the newest revision. A change is accepted by one transaction that writes
+    its row, which must be absent, and updates the head, which must be unchanged. If the answer is
+    lost, the same transaction is sent again and the operation ids are compared, so that a write
+    that is still in flight cannot take effect after its author was told that it failed.
     """
 
     def __init__(self, table: Table, objects: ObjectStore, clock: Clock) -> None:
@@ -59,7 +62,7 @@
         return _revision(row), row.version
 
     def since(self, revision: int, limit: int = PAGE) -> list[Change]:
-        """Return the changes after a revision, oldest first, at most a page of them."""
+        """Return up to `limit` changes after a revision, oldest first."""
         after = _change_key(revision)
         changes = [Change.decode(row.value) for row in self.table.scan(CHANGE_PREFIX, after, limit)]
         for number, change in enumerate(changes, revision + 1):
@@ -68,7 +71,7 @@
         return changes
 
     def load(self, known: Configuration | None = None) -> Configuration:
-        """Return the newest configuration, from what is known, a snapshot and the changes since."""
+        """Return the newest configuration, built from a known one, a snapshot and later changes."""
         configuration = known or Configuration()
         newest, _ = self.head()
         if newest - configuration.revision > SNAPSHOT_EVERY:
@@ -82,7 +85,7 @@
         return configuration
 
     def snapshot(self, known: Configuration) -> Configuration:
-        """Return the newest snapshot where it is newer than what is known."""
+        """Return the newest snapshot, or the known configuration if that is not older."""
         row = self.table.read(SNAPSHOT_KEY)
         if row is None or _revision(row) <= known.revision:
             return known
@@ -97,12 +100,19 @@
         puts: Sequence[Document],
         deletes: Sequence[str],
     ) -> Configuration:
-        """Make a change against a configuration and return the one it makes.
+        """Append a change to the log and return the resulting configuration.
+
+        Args:
+            base: The configuration that the change is based on.
+            operation: An id of the change; see Change.
+            author: The author.
+            puts: The documents to add or replace.
+            deletes: The keys of the documents to remove.
 
         Raises:
             RevisionConflictError: Another change was accepted first; nothing was written.
-            StoreUnavailableError: The store refused; nothing was written.
-            StoreAmbiguousError: It could not be settled whether the change was accepted.
+            StoreUnavailableError: The store is unavailable; nothing was written.
+            StoreAmbiguousError: It is not known whether the change was accepted.
         """
         change = Change(
             base.revision + 1, operation, author, self.clock.wall(), tuple(puts), tuple(deletes)
@@ -118,7 +128,7 @@
         return made
 
     def accept(self, change: Change, head_version: int) -> None:
-        """Write a change, sending it again while it is not known whether it took effect."""
+        """Write a change, and retry while it is not known whether it took effect."""
         head = json.dumps({"revision": change.revision}).encode()
         writes = (
             Write(HEAD_KEY, head, head_version),
@@ -135,23 +145,23 @@
                     return
                 raise RevisionConflictError(change.revision - 1, self.head()[0]) from error
         raise StoreAmbiguousError(
-            f"change {change.operation} against {change.revision - 1}: no answer"
+            f"change {change.operation} based on revision {change.revision - 1}: outcome unknown"
         )
 
     def is_mine(self, change: Change) -> bool:
-        """Tell whether the accepted change of a revision has this change's operation id."""
+        """Return whether the change accepted at this revision has the same operation id."""
         row = self.table.read(_change_key(change.revision))
         return row is not None and Change.decode(row.value).operation == change.operation
 
     def try_snapshot(self, configuration: Configuration) -> None:
-        """Write a snapshot where the store lets us; the change itself is accepted already."""
+        """Write a snapshot; a failure is only logged, since the change itself was accepted."""
         try:
             self.write_snapshot(configuration)
         except (StoreUnavailableError, StoreAmbiguousError, ConditionFailedError) as error:
-            log_message("snapshot-left-out", revision=configuration.revision, reason=str(error))
+            log_message("snapshot-failed", revision=configuration.revision, reason=str(error))
 
     def write_snapshot(self, configuration: Configuration) -> None:
-        """Write a snapshot and point to it; a later one is never replaced by an earlier one."""
+        """Write a snapshot and its pointer row, which never goes back to an older revision."""
         self.objects.put(_snapshot_name(configuration.revision), configuration.encode())
         row = self.table.read(SNAPSHOT_KEY)
         if row is None or _revision(row) < configuration.revision:
@@ -171,4 +181,4 @@
     try:
         return int(json.loads(row.value)["revision"])
     except MALFORMED as error:
-        raise BadRowError(f"{row.key}: expected a revision: {error}") from error
+        raise BadRowError(f"{row.key}: not a revision: {error}") from error
--- a/packages/core/src/mountladder/configuration/check.py
+++ b/packages/core/src/mountladder/configuration/check.py
@@ -1,8 +1,8 @@
-# check.py -- Cross-checks of a whole configuration
+# check.py -- Checks references and selectors across a configuration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Cross-checks of a whole configuration."""
+"""Checks references and selectors across a configuration."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 def check(configuration: Configuration) -> list[MountladderError]:
-    """Return warnings about a configuration whose references all hold.
+    """Check a configuration and return warnings about selectors that no server matches.
 
     Raises:
-        ExceptionGroup: Of an error for each reference or selector that does not hold.
+        ExceptionGroup: With an error for each dangling reference, malformed selector and
+            duplicate token.
     """
     faults = list(_selector_faults(configuration))
     for pipeline in configuration.of_kind("pipeline"):
@@ -28,7 +29,7 @@
                 faults.append(_missing(f"server {server.name}", "model", model))
     faults.extend(_token_faults(configuration))
     if faults:
-        raise ExceptionGroup(f"the configuration has {len(faults)} faults", faults)
+        raise ExceptionGroup(f"the configuration has {len(faults)} errors", faults)
     return [
         warning
         for one in configuration.of_kind("pipeline")
--- a/packages/core/src/mountladder/configuration/configuration.py
+++ b/packages/core/src/mountladder/configuration/configuration.py
@@ -24,11 +24,12 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """Every document in force at one revision; never changed, only replaced by a later one.
+    """All documents at one revision; immutable, replaced as a whole by a later revision.
 
     Attributes:
-        revision: The revision, 0 for the empty one.
+        revision: The revision, 0 for the empty configuration.
         documents: The documents by their keys.
+        allowed: Cached results of servers_for.
     """
 
     revision: int = 0
@@ -38,10 +39,10 @@
     )
 
     def after(self, change: Change) -> Configuration:
-        """Return the configuration that a change makes of this one.
+        """Return the configuration that results from applying a change to this one.
 
         Raises:
-            BadRowError: The change is not the next one.
+            BadRowError: The change does not directly follow this revision.
         """
         if change.revision != self.revision + 1:
             raise BadRowError(f"change {change.revision} cannot follow revision {self.revision}")
@@ -52,35 +53,35 @@
         return Configuration(change.revision, documents)
 
     def of_kind(self, kind: str) -> tuple[Document, ...]:
-        """Return the documents of one kind, by name."""
+        """Return the documents of one kind, sorted by name."""
         prefix = kind + "/"
         return tuple(
             self.documents[key] for key in sorted(self.documents) if key.startswith(prefix)
         )
 
     def pipeline(self, name: str) -> Pipeline | None:
-        """Return a pipeline by its name."""
+        """Return a pipeline by its name, or None if there is none."""
         return self.documents.get(f"pipeline/{name}")
 
     def team_of(self, token_sha256: str) -> Team | None:
-        """Return the team that has a token's hash."""
+        """Return the team by the hash of its token, or None if there is none."""
         return self.teams_by_token.get(token_sha256)
 
     @cached_property
     def teams_by_token(self) -> dict[str, Team]:
-        """The teams by the hash of their token, worked out once a revision."""
+        """The teams by the hash of their token, computed once per revision."""
         return {team.token_sha256: team for team in self.of_kind("team")}
 
     def selector(self, text: str) -> Selector:
-        """Return a selector by the name of its document, or read from the text itself."""
+        """Return the selector that a text names, or else the one parsed from the text itself."""
         named = self.documents.get(f"selector/{text}")
         return Selector.parse(named.match if named else text)
 
     def servers_for(self, stage: Stage, team: Team) -> tuple[BackendServer, ...]:
-        """Return the backend servers that the selectors allow, draining ones left out.
+        """Return the backend servers that the selectors allow, without draining ones.
 
-        The stage's, its model's and the team's selectors all hold. The answer is kept for the
-        life of this revision.
+        They match the selectors of the stage, its model and the team. The result is cached with
+        this revision.
         """
         key = (stage.work + "/" + stage.model, stage.selector, team.selector)
         servers = self.allowed.get(key)
@@ -111,7 +112,7 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Configuration:
-        """Read a snapshot.
+        """Parse a snapshot.
 
         Raises:
             BadRowError: The value is not a snapshot.
@@ -121,4 +122,4 @@
             documents = [read_document(kind, entry) for kind, entry in table["documents"]]
             return cls(int(table["revision"]), {one.key: one for one in documents})
         except (*MALFORMED, DocumentError) as error:
-            raise BadRowError(f"a snapshot of the configuration cannot be read: {error}") from error
+            raise BadRowError(f"a configuration snapshot cannot be parsed: {error}") from error
--- a/packages/core/src/mountladder/configuration/document.py
+++ b/packages/core/src/mountladder/configuration/document.py
@@ -1,8 +1,8 @@
-# document.py -- One document of the operators' configuration
+# document.py -- Base class of the documents of the configuration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One document of the operators' configuration."""
+"""Base class of the documents of the configuration."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Document(ABC):
-    """A named document; its kind is fixed by its class.
+    """A named document, with one subclass for each kind.
 
     Attributes:
         name: The name, unique within the kind.
-        labels: The labels an operator gave it.
+        labels: The labels assigned by operators.
     """
 
     kind: ClassVar[str] = ""
@@ -26,9 +26,9 @@
 
     @property
     def key(self) -> str:
-        """Return the kind and name, unique over all documents."""
+        """Return the kind and name, unique among all documents."""
         return f"{self.kind}/{self.name}"
 
     @abstractmethod
     def table(self) -> dict[str, object]:
-        """Return the document as the table it is read from."""
+        """Return the table from which the document can be parsed."""
--- a/packages/core/src/mountladder/configuration/documents.py
+++ b/packages/core/src/mountladder/configuration/documents.py
@@ -1,8 +1,8 @@
-# documents.py -- Reading and writing documents of every kind
+# documents.py -- Parses documents of every kind
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Reading and writing documents of every kind."""
+"""Parses documents of every kind."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 def parse_documents(text: str, source: str) -> tuple[Document, ...]:
-    """Read every document of a TOML text.
+    """Parse every document of a TOML text.
 
     Args:
-        text: The TOML text; each document is a table in an array named by its kind.
-        source: What to call the text in a fault, such as its file's name.
+        text: The TOML text; each document is a table in an array named after its kind.
+        source: The name of the text in error messages, such as its file name.
 
     Returns:
-        The documents in the order they stand in.
+        The documents in the order of the text.
 
     Raises:
-        ExceptionGroup: Of a DocumentError for each fault.
+        ExceptionGroup: With a DocumentError for each error.
     """
     try:
         tables = tomllib.loads(text)
@@ -51,15 +51,15 @@
             documents.append(_read(kind, entry, f"{source}: {kind} {number}", faults))
     faults.extend(_doubled(documents, source))
     if faults:
-        raise ExceptionGroup(f"{source}: {len(faults)} faults", faults)
+        raise ExceptionGroup(f"{source}: {len(faults)} errors", faults)
     return tuple(documents)
 
 
 def read_document(kind: str, table: object) -> Document:
-    """Read one document from a row or a message.
+    """Parse one document from a row or a message.
 
     Raises:
-        DocumentError: The table is not a document of this kind.
+        DocumentError: The table is not a valid document of this kind.
     """
     if kind not in KINDS:
         raise DocumentError(f"unknown kind {kind!r}")
@@ -85,6 +85,6 @@
     faults: list[MountladderError] = []
     for document in documents:
         if document.key in seen:
-            faults.append(DocumentError(f"{source}: {document.key} stands twice"))
+            faults.append(DocumentError(f"{source}: {document.key} is defined twice"))
         seen.add(document.key)
     return faults
--- a/packages/core/src/mountladder/configuration/fields.py
+++ b/packages/core/src/mountladder/configuration/fields.py
@@ -1,8 +1,8 @@
-# fields.py -- Checked reading of TOML tables
+# fields.py -- Validated access to the keys of a table
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Checked reading of TOML tables."""
+"""Validated access to the keys of a table."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from mountladder.errors import MountladderError
 
-# What the instances' messages can hold of a whole number.
+# The largest integer that the messages between instances can hold.
 MOST_WHOLE = 2**63 - 1
 _REQUIRED = object()
 
 
 class Fields:
-    """Reads the keys of one table, gathering every fault instead of stopping at the first.
+    """Reads the keys of one table and collects all errors instead of stopping at the first.
 
     Args:
-        table: The table as the TOML or JSON library gives it.
-        place: What to call the table in a fault, such as a file and a key.
-        error: The class of error to gather.
+        table: The table as parsed by the TOML or JSON library.
+        place: The location of the table for error messages, such as a file and a key.
+        error: The class of the errors.
     """
 
     def __init__(self, table: object, place: str, error: type[MountladderError]) -> None:
@@ -37,12 +37,12 @@
             self.fault("", "a table", table)
 
     def fault(self, key: str, expected: str, found: object) -> None:
-        """Record a fault: the key, what was expected and what stood there."""
+        """Record an error with the key, the expected and the actual value."""
         where = f"{self.place}: {key}" if key else self.place
         self.faults.append(self.error(f"{where}: expected {expected}, found {found!r}"))
 
     def take(self, key: str, kind: type, expected: str, default: object) -> object:
-        """Return a key's value where it is of a kind, else its default or a recorded fault."""
+        """Return a key's value, or its default; record an error if it has the wrong type."""
         self.read.add(key)
         value = self.table.get(key, default)
         if value is _REQUIRED:
@@ -54,7 +54,7 @@
         return value
 
     def text(self, key: str, default: object = _REQUIRED) -> str:
-        """Return a string; an empty one is a fault where no default is given."""
+        """Return a string; without a default, an empty string is an error."""
         value = self.take(key, str, "a string", default)
         if value == "" and default is _REQUIRED and isinstance(self.table.get(key), str):
             self.fault(key, "a string that is not empty", value)
@@ -65,11 +65,11 @@
         return bool(self.take(key, bool, "true or false", default))
 
     def number(self, key: str, default: object = _REQUIRED, least: float = 0.0) -> float:
-        """Return a finite number not below a least value."""
+        """Return a finite number that is not below a minimum."""
         self.read.add(key)
         value = self.table.get(key, default)
         good = isinstance(value, (int, float)) and not isinstance(value, bool)
-        # A whole number may be too large to become a float.
+        # An integer may be too large for a float.
         if not good or not least <= value <= sys.float_info.max:
             self.fault(
                 key, f"a number of at least {least:g}", None if value is _REQUIRED else value
@@ -80,14 +80,14 @@
     def whole(
         self, key: str, default: object = _REQUIRED, least: int = 0, most: int = MOST_WHOLE
     ) -> int:
-        """Return a whole number within limits, to which a default is not held."""
+        """Return an integer within limits; the limits do not apply to the default."""
         self.read.add(key)
         value = self.table.get(key, default)
         if key not in self.table and default is not _REQUIRED:
             return default
         good = isinstance(value, int) and not isinstance(value, bool)
         if not good or not least <= value <= most:
-            expected = f"a whole number from {least} to {most}"
+            expected = f"an integer from {least} to {most}"
             self.fault(key, expected, None if value is _REQUIRED else value)
             return least
         return value
@@ -102,7 +102,7 @@
         return tuple(value)
 
     def numbers(self, key: str) -> tuple[float, ...]:
-        """Return a list of finite numbers that are not negative."""
+        """Return a list of finite, non-negative numbers."""
         self.read.add(key)
         value = self.table.get(key, ())
         listed = value if isinstance(value, (list, tuple)) else (None,)
@@ -124,7 +124,7 @@
         return dict(value)
 
     def choice(self, key: str, choices: tuple[str, ...], default: object = _REQUIRED) -> str:
-        """Return a string out of a few."""
+        """Return a string that is one of the choices."""
         value = self.text(key, default)
         if value not in choices:
             self.fault(key, "one of " + ", ".join(choices), value)
@@ -132,7 +132,7 @@
         return value
 
     def finish(self) -> list[MountladderError]:
-        """Record every key that nothing has read, and return all faults."""
+        """Record an error for each key that was not read, and return all errors."""
         for key in self.table:
             if key not in self.read:
                 self.fault(str(key), "no such key", self.table[key])
--- a/packages/core/src/mountladder/configuration/follower.py
+++ b/packages/core/src/mountladder/configuration/follower.py
@@ -1,8 +1,8 @@
-# follower.py -- An instance's view of the configuration
+# follower.py -- Follows the configuration from the store and from peers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An instance's view of the configuration."""
+"""Follows the configuration from the store and from peers."""
 
 from __future__ import annotations
 
@@ -14,20 +14,23 @@
 from mountladder.configuration.configuration import Configuration
 from mountladder.errors import BadRowError, StoreUnavailableError
 
+# Max. number of changes held for peers.
 KEPT_CHANGES = 512
 
 
 class Follower:
-    """Follows the configuration from the store and from peers; it only moves to higher revisions.
+    """Follows the configuration from the store and from peers; the revision never decreases.
 
     Args:
         log: The log in the store.
-        clock: The clock that ages are measured on.
+        clock: The clock by which ages are measured.
 
     Attributes:
         configuration: The configuration in force on this instance.
         checked_at: When the store was last known to hold nothing newer, or None.
-        changes: The latest changes, from which peers are brought up to date.
+        changes: The latest changes, which are sent to peers with an older revision.
+        listeners: Called with the changes that were adopted.
+        reads: The number of reads of the store.
     """
 
     def __init__(self, log: ChangeLog, clock: Clock) -> None:
@@ -41,17 +44,17 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether a configuration was ever known to be the newest one."""
+        """Return whether the configuration was confirmed to be the newest at least once."""
         return self.checked_at is not None
 
     def age_ms(self) -> float:
-        """Return how long ago the configuration was known to be the newest; infinite if never."""
+        """Return the time since the configuration was last confirmed, infinite if never."""
         if self.checked_at is None:
             return float("inf")
         return self.clock.now() - self.checked_at
 
     def poll(self) -> bool:
-        """Read the store once; tell whether it could be read."""
+        """Read the store once; return whether that succeeded."""
         started = self.clock.now()
         self.reads += 1
         try:
@@ -65,15 +68,15 @@
         return True
 
     def catch_up(self) -> None:
-        """Read the head, and the changes since the revision in force where there are any."""
+        """Read the head, and any changes after the revision in force."""
         newest, _ = self.log.head()
         while self.configuration.revision < newest:
             self.reads += 1
             if not self.adopt(self.log.since(self.configuration.revision)):
-                raise BadRowError("the log ends before its head")
+                raise BadRowError("the change log ends before its head")
 
     def adopt(self, changes: Sequence[Change]) -> bool:
-        """Adopt the changes that directly follow the revision in force; tell whether any did."""
+        """Adopt the changes that directly follow the revision in force; return whether any did."""
         adopted: list[Change] = []
         configuration = self.configuration
         for change in changes:
@@ -89,18 +92,18 @@
         return True
 
     def replace(self, configuration: Configuration) -> None:
-        """Adopt a whole configuration where its revision is higher."""
+        """Adopt a complete configuration if its revision is higher."""
         if configuration.revision > self.configuration.revision:
             self.configuration = configuration
             self.changes = []
 
     def confirm(self, at: float) -> None:
-        """Record that the store held nothing newer than the revision in force at a time."""
+        """Record that the revision in force was the newest in the store at a time."""
         if self.checked_at is None or at > self.checked_at:
             self.checked_at = at
 
     def since(self, revision: int) -> list[Change] | None:
-        """Return the kept changes after a revision, or None where they do not reach back."""
+        """Return the changes after a revision, or None if some of them are no longer held."""
         if revision >= self.configuration.revision:
             return []
         if not self.changes or self.changes[0].revision > revision + 1:
--- a/packages/core/src/mountladder/configuration/model.py
+++ b/packages/core/src/mountladder/configuration/model.py
@@ -18,10 +18,11 @@
     """A model.
 
     Attributes:
-        version: The version that engines are to serve.
-        adapters: The adapters that may be loaded on top of it.
-        selector: A selector that every backend server running it must meet.
-        replicas: How many backend servers each data centre should load it on; 0 leaves it alone.
+        version: The version that engines should serve.
+        adapters: The adapters that may be loaded for it.
+        selector: A selector that every backend server running it must match.
+        replicas: The number of backend servers per data centre that should load it; 0 sends no
+            orders for it.
     """
 
     kind: ClassVar[str] = "model"
@@ -32,7 +33,7 @@
 
     @classmethod
     def read(cls, fields: Fields) -> Model:
-        """Read a model from its table."""
+        """Parse a model from its table."""
         return cls(
             name=fields.text("name"),
             labels=fields.labels("labels"),
@@ -43,5 +44,5 @@
         )
 
     def table(self) -> dict[str, object]:
-        """Return the table it is read from."""
+        """Return the table from which it can be parsed."""
         return asdict(self)
--- a/packages/core/src/mountladder/configuration/namedselector.py
+++ b/packages/core/src/mountladder/configuration/namedselector.py
@@ -1,8 +1,8 @@
-# namedselector.py -- A selector that several documents share
+# namedselector.py -- A selector that documents refer to by name
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A selector that several documents share."""
+"""A selector that documents refer to by name."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedSelector(Document):
-    """A selector with a name.
+    """A selector that documents refer to by name.
 
     Attributes:
         match: The selector's text.
@@ -26,9 +26,9 @@
 
     @classmethod
     def read(cls, fields: Fields) -> NamedSelector:
-        """Read a named selector from its table."""
+        """Parse a named selector from its table."""
         return cls(fields.text("name"), fields.labels("labels"), fields.text("match"))
 
     def table(self) -> dict[str, object]:
-        """Return the table it is read from."""
+        """Return the table from which it can be parsed."""
         return asdict(self)
--- a/packages/core/src/mountladder/configuration/pipeline.py
+++ b/packages/core/src/mountladder/configuration/pipeline.py
@@ -1,8 +1,8 @@
-# pipeline.py -- A pipeline of stages
+# pipeline.py -- A pipeline and its stages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A pipeline of stages."""
+"""A pipeline and its stages."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     """A pipeline.
 
     Attributes:
-        deadline_ms: The deadline of a request that states none, in milliseconds.
-        stages: Its stages, each after those it needs.
-        urgency: Who is shed first under overload: a lower number is shed later.
+        deadline_ms: The default deadline of a request, in milliseconds.
+        stages: Its stages, each after those it depends on.
+        urgency: The order of load shedding: a lower number is shed later.
     """
 
     kind: ClassVar[str] = "pipeline"
@@ -35,7 +35,7 @@
 
     @classmethod
     def read(cls, fields: Fields) -> Pipeline:
-        """Read a pipeline and its stages from its table."""
+        """Parse a pipeline and its stages from its table."""
         return cls(
             name=fields.text("name"),
             labels=fields.labels("labels"),
@@ -46,7 +46,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether every stage may be run again."""
+        """Return whether every stage may be run again."""
         return all(stage.idempotent for stage in self.stages)
 
     def table(self) -> dict[str, object]:
--- a/packages/core/src/mountladder/configuration/requirement.py
+++ b/packages/core/src/mountladder/configuration/requirement.py
@@ -1,8 +1,8 @@
-# requirement.py -- One condition of a selector
+# requirement.py -- One requirement of a selector
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One condition of a selector."""
+"""One requirement of a selector."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One condition over labels.
+    """One requirement for labels.
 
     Attributes:
         label: The label's name.
-        values: The values it is compared with; empty means that the label must exist.
-        negated: Whether the condition is turned round. A missing label meets a negated one.
+        values: The allowed values; if empty, any value is allowed.
+        negated: Whether the requirement is negated. A missing label meets a negated one.
     """
 
     label: str
@@ -25,7 +25,7 @@
     negated: bool
 
     def meets(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether a set of labels meets this condition."""
+        """Return whether labels meet this requirement."""
         value = labels.get(self.label)
         holds = value is not None and (not self.values or value in self.values)
         return holds != self.negated
--- a/packages/core/src/mountladder/configuration/selector.py
+++ b/packages/core/src/mountladder/configuration/selector.py
@@ -1,8 +1,8 @@
-# selector.py -- Selectors over labels
+# selector.py -- Label selectors
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Selectors over labels."""
+"""Label selectors."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """A conjunction of conditions over labels, such as "tier = new, region in (a, b), !old".
+    """A conjunction of requirements for labels, such as "tier = new, region in (a, b), !old".
 
     Attributes:
-        text: The selector as its operator wrote it.
-        requirements: Its conditions, all of which must hold.
+        text: The selector as written.
+        requirements: Its requirements, all of which must be met.
     """
 
     text: str
@@ -34,17 +34,17 @@
 
     @classmethod
     def parse(cls, text: str) -> Selector:
-        """Read a selector; an empty text selects everything.
+        """Parse a selector; an empty text matches everything.
 
         Raises:
-            SelectorError: The text is not a selector.
+            SelectorError: The text is not a valid selector.
         """
         if not text.strip():
             return cls(text, ())
         return cls(text, tuple(_requirement(part.strip()) for part in _SEPARATOR.split(text)))
 
     def meets(self, labels: Mapping[str, str]) -> bool:
-        """Tell whether a set of labels meets every condition."""
+        """Return whether labels meet all requirements."""
         return all(requirement.meets(labels) for requirement in self.requirements)
 
 
@@ -56,8 +56,8 @@
         name, operator, inner = match.groups()
         values = frozenset(value.strip() for value in inner.split(","))
         if not all(re.fullmatch(_NAME, value) for value in values):
-            raise SelectorError(f"a list of values was expected in {part!r}")
+            raise SelectorError(f"expected a list of values in {part!r}")
         return Requirement(name, values, operator != "in")
     if match := _EXISTENCE.fullmatch(part):
         return Requirement(match.group(2), frozenset(), match.group(1) == "!")
-    raise SelectorError(f"a condition was expected, found {part!r}")
+    raise SelectorError(f"expected a condition, found {part!r}")
--- a/packages/core/src/mountladder/configuration/settings.py
+++ b/packages/core/src/mountladder/configuration/settings.py
@@ -18,34 +18,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one process, checked.
+    """The validated settings of one process.
 
     The table in docs/SETTINGS.md is checked against these fields.
 
     Attributes:
-        name: The instance's name, unique in the fleet.
-        datacentre: The data centre it stands in.
-        web: Where callers and operators connect, an IP number and port.
-        peer: Where other instances connect, an IP number and port.
+        name: The instance's name, unique among all instances.
+        datacentre: Its data centre.
+        web: The address for callers and operators, an IP number and port.
+        peer: The address for other instances, an IP number and port.
         platform: The base URL of the platform's services.
-        secret: The key that all instances share.
-        seeds: Peer addresses of instances to start from.
-        heartbeat_ms: The least time between heartbeats to one peer, in milliseconds.
-        poll_ms: How often the store is asked for a newer revision, in milliseconds.
+        secret: The key shared by all instances.
+        seeds: Peer addresses of instances for the initial discovery.
+        heartbeat_ms: The min. interval between heartbeats to one peer, in milliseconds.
+        poll_ms: The interval between polls of the store for a newer revision, in milliseconds.
         statsd: The statsd server's IP number and UDP port, or an empty string.
-        most_running: The most requests that run at once.
-        most_waiting: The most requests that wait at once.
-        most_body_bytes: The largest body of a request.
+        most_running: The max. number of running requests.
+        most_waiting: The max. number of waiting requests.
+        most_body_bytes: The max. size of a request's body.
         shutdown_ms: How long a graceful shutdown may take, in milliseconds.
-        window_ms: The least pause between two transactions that write claims, in milliseconds.
-        most_transactions: How many such transactions a second all instances together may use.
-        keep_ms: How long the outcome of a key is kept, in milliseconds.
-        cost_ms: How often cost is sent to the platform, in milliseconds.
-        thrift: From 0 to 1, how much of the time available may be used up to save cost.
-        drawn: How many backend servers are compared for a choice.
-        spill_ms: What a call to another data centre is taken to add, in milliseconds.
-        orders_ms: How often engines are compared with their wanted state; 0 sends no orders.
-        operator_token: The token operators must send, or an empty string.
+        window_ms: The min. interval between two transactions that write claims, in milliseconds.
+        most_transactions: The max. number of such transactions per second of all instances.
+        keep_ms: How long the outcome of a key is stored, in milliseconds.
+        cost_ms: The interval at which cost is sent to the platform, in milliseconds.
+        thrift: The fraction of the available time, from 0 to 1, that may be used to save cost.
+        drawn: The number of backend servers sampled for a routing decision.
+        spill_ms: The time that a call to another data centre is assumed to add, in milliseconds.
+        orders_ms: The interval at which engines are compared with their wanted state, in
+            milliseconds; 0 sends no orders.
+        operator_token: The token required from operators, or an empty string.
     """
 
     name: str
@@ -74,10 +75,10 @@
 
     @classmethod
     def read(cls, text: str, source: str) -> Settings:
-        """Read settings from a TOML text.
+        """Parse settings from a TOML text.
 
         Raises:
-            ExceptionGroup: Of a SettingsError for each fault.
+            ExceptionGroup: With a SettingsError for each error.
         """
         fields = settings_fields(text, source)
         settings = _settings(fields)
@@ -90,7 +91,7 @@
         """Read settings from a file.
 
         Raises:
-            ExceptionGroup: Of a SettingsError for each fault.
+            ExceptionGroup: With a SettingsError for each error.
         """
         return cls.read(settings_text(path), str(path))
 
@@ -142,7 +143,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is an IP number and a port."""
+    """Return whether a text is an IP number and a port."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/packages/core/src/mountladder/configuration/settingsfile.py
+++ b/packages/core/src/mountladder/configuration/settingsfile.py
@@ -1,8 +1,8 @@
-# settingsfile.py -- Reading a process's settings file
+# settingsfile.py -- Reads the settings file of a process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Reading a process's settings file."""
+"""Reads the settings file of a process."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def settings_fields(text: str, source: str) -> Fields:
-    """Return the fields of a settings file, whose faults are gathered as they are read.
+    """Return the fields of a settings file, which collect errors as they are read.
 
     Raises:
-        ExceptionGroup: Of one SettingsError where the text is not TOML.
+        ExceptionGroup: With one SettingsError if the text is not TOML.
     """
     try:
         table = tomllib.loads(text)
@@ -28,21 +28,21 @@
 
 
 def check_fields(fields: Fields, source: str) -> None:
-    """Raise every fault that was found.
+    """Raise all errors that were collected.
 
     Raises:
-        ExceptionGroup: Of a SettingsError for each fault.
+        ExceptionGroup: With a SettingsError for each error.
     """
     faults = fields.finish()
     if faults:
-        raise ExceptionGroup(f"{source}: {len(faults)} faults", faults)
+        raise ExceptionGroup(f"{source}: {len(faults)} errors", faults)
 
 
 def settings_text(path: Path) -> str:
     """Return the text of a settings file.
 
     Raises:
-        ExceptionGroup: Of one SettingsError where it cannot be read.
+        ExceptionGroup: With one SettingsError if it cannot be read.
     """
     try:
         return path.read_text(encoding="utf-8")
--- a/packages/core/src/mountladder/configuration/stage.py
+++ b/packages/core/src/mountladder/configuration/stage.py
@@ -20,12 +20,12 @@
     Attributes:
         name: The stage's name, unique in its pipeline.
         work: The kind of work: encode, retrieve, rerank, generate, or call for a plain service.
-        model: The model it needs, or an empty string.
+        model: The required model, or an empty string.
         selector: A selector over backend servers, or the name of a selector document.
-        after: The stages whose results it needs.
-        idempotent: Whether it may be run again.
+        after: The stages whose results it depends on.
+        idempotent: Whether it may be run more than once.
         stream: Whether its result is streamed to the caller; at the last stage only.
-        share: Its share of the deadline; 0 leaves it to the learnt cost.
+        share: The fraction of the deadline it may use; 0 derives it from the learnt times.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
     @classmethod
     def read(cls, fields: Fields, previous: tuple[str, ...]) -> Stage:
-        """Read a stage from its table; without "after" it follows the stage before it."""
+        """Parse a stage from its table; without "after" it depends on the previous stage."""
         return cls(
             name=fields.text("name"),
             work=fields.choice("work", WORKS),
@@ -52,5 +52,5 @@
         )
 
     def table(self) -> dict[str, object]:
-        """Return the table it is read from."""
+        """Return the table from which it can be parsed."""
         return asdict(self)
--- a/packages/core/src/mountladder/configuration/team.py
+++ b/packages/core/src/mountladder/configuration/team.py
@@ -22,9 +22,9 @@
 
     Attributes:
         token_sha256: The SHA-256 of its token, in hexadecimal.
-        share: Its weight against other teams when there is not enough for all.
-        most_running: The most requests it may have running on one instance; 0 sets no limit.
-        selector: A selector that every backend server working for it must meet.
+        share: Its weight relative to other teams under overload.
+        most_running: The max. number of its requests running on one instance; 0 sets no limit.
+        selector: A selector that every backend server used for it must match.
     """
 
     kind: ClassVar[str] = "team"
@@ -35,7 +35,7 @@
 
     @classmethod
     def read(cls, fields: Fields) -> Team:
-        """Read a team from its table."""
+        """Parse a team from its table."""
         team = cls(
             name=fields.text("name"),
             labels=fields.labels("labels"),
@@ -49,5 +49,5 @@
         return team
 
     def table(self) -> dict[str, object]:
-        """Return the table it is read from."""
+        """Return the table from which it can be parsed."""
         return asdict(self)
--- a/packages/core/src/mountladder/errors.py
+++ b/packages/core/src/mountladder/errors.py
@@ -1,15 +1,15 @@
-# errors.py -- Every error the product raises
+# errors.py -- Exception classes
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Every error the product raises."""
+"""Exception classes."""
 
 from __future__ import annotations
 
 from mountladder.code import Code
 from mountladder.store.position import Position
 
-# What reading a value of the wrong form raises, whatever is wrong with it.
+# The exceptions that parsing a malformed value may raise.
 MALFORMED = (
     ValueError,
     KeyError,
@@ -26,10 +26,10 @@
 
     Attributes:
         code: The numbered code.
-        detail: What exactly was wrong, in words.
-        stage: The stage it happened at, or an empty string.
-        retry_after_ms: When a repeat makes sense, or None.
-        result: What the caller may conclude; the code's own class unless less is known.
+        detail: A description of the error.
+        stage: The stage that failed, or an empty string.
+        retry_after_ms: When a retry makes sense, in milliseconds, or None.
+        result: The result class for the caller; the code's class unless less is known.
     """
 
     default = Code.INTERNAL
@@ -50,32 +50,32 @@
 
 
 class WaitTimeoutError(Exception):
-    """A wait took longer than its limit."""
+    """A wait exceeded its time limit."""
 
 
 class SettingsError(MountladderError):
-    """One fault in the settings of a process."""
+    """One error in the settings of a process."""
 
     default = Code.BAD_SETTINGS
 
 
 class DocumentError(MountladderError):
-    """One fault in the operators' configuration."""
+    """One error in a document of the operators' configuration."""
 
     default = Code.BAD_DOCUMENT
 
 
 class SelectorError(MountladderError):
-    """A selector that cannot be read."""
+    """A selector cannot be parsed."""
 
     default = Code.BAD_SELECTOR
 
 
 class RevisionConflictError(MountladderError):
-    """Another change was accepted first.
+    """Another change of the configuration was accepted first.
 
     Attributes:
-        stated: The revision the change was made against.
+        stated: The revision that the change was based on.
         found: The revision in force.
     """
 
@@ -84,7 +84,7 @@
     def __init__(self, stated: int, found: int) -> None:
         self.stated = stated
         self.found = found
-        super().__init__(f"made against revision {stated}, but {found} is in force")
+        super().__init__(f"based on revision {stated}, but {found} is in force")
 
 
 class StoreUnavailableError(MountladderError):
@@ -100,10 +100,10 @@
 
 
 class ConditionFailedError(MountladderError):
-    """A transaction was refused whole.
+    """A transaction was rejected because of its conditions; nothing was written.
 
     Attributes:
-        keys: The keys whose condition did not hold.
+        keys: The keys whose conditions did not hold.
     """
 
     default = Code.CONDITION_FAILED
@@ -114,7 +114,7 @@
 
 
 class HistoryLostError(MountladderError):
-    """The store no longer knows the changes after a position, or came back without it.
+    """The store no longer has the changes after a position, or was restored without it.
 
     Attributes:
         after: The position.
@@ -128,7 +128,7 @@
 
 
 class BadRowError(MountladderError):
-    """A row of the store that cannot be read."""
+    """A row of the store cannot be parsed."""
 
     default = Code.BAD_ROW
 
@@ -148,30 +148,30 @@
 
 
 class RefusalError(MountladderError):
-    """A request that did not run at any stage."""
+    """A request was refused before any stage ran."""
 
     default = Code.OVERLOADED
 
 
 class RunError(MountladderError):
-    """A request that ran and did not finish whole."""
+    """A request ran but did not complete."""
 
     default = Code.STAGE_FAILED
 
 
 class PeerError(MountladderError):
-    """A peer cannot be understood or reached."""
+    """A peer cannot be reached, or sent an invalid message."""
 
     default = Code.PEER_UNREACHABLE
 
 
 class LeaseLostError(MountladderError):
-    """A lease is held by another."""
+    """A lease is held by another instance."""
 
     default = Code.LEASE_LOST
 
 
 class OrderFencedError(MountladderError):
-    """An engine refused an order that carried an old fencing number."""
+    """An engine rejected an order with an outdated fencing number."""
 
     default = Code.ORDER_FENCED
--- a/packages/core/src/mountladder/metrics/histogram.py
+++ b/packages/core/src/mountladder/metrics/histogram.py
@@ -1,8 +1,8 @@
-# histogram.py -- Quantiles of durations
+# histogram.py -- Histogram of durations with cached quantiles
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Quantiles of durations."""
+"""Histogram of durations with cached quantiles."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 HIGHEST_MS = 600_000
 SIGNIFICANT_DIGITS = 2
+# A cached quantile is recomputed after this many records, earlier while there are few.
 REFRESH_EVERY = 64
 
 
 class Histogram:
-    """Quantiles of durations in milliseconds; a quantile asked for often is worked out seldom."""
+    """Durations in milliseconds; quantiles are cached and recomputed after a number of records."""
 
     def __init__(self) -> None:
         self.inner = HdrHistogram(1, HIGHEST_MS, SIGNIFICANT_DIGITS)
@@ -27,7 +28,7 @@
         self.count += 1
 
     def quantile(self, share: float) -> float:
-        """Return a quantile in milliseconds, at most some records old.
+        """Return a quantile in milliseconds, which may lack the latest records.
 
         Args:
             share: The quantile, from 0 to 1.
--- a/packages/core/src/mountladder/metrics/memorymetrics.py
+++ b/packages/core/src/mountladder/metrics/memorymetrics.py
@@ -13,7 +13,7 @@
 
 
 class MemoryMetrics(Metrics):
-    """Counts in memory, for tests and for an instance's own status page."""
+    """Keeps metrics in memory, for tests and for an instance's status page."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -24,7 +24,7 @@
         self.counts[metric.label + suffix] += number
 
     def timing(self, metric: Metric, value_ms: float, suffix: str = "") -> None:
-        """Count a duration and add it up, in milliseconds."""
+        """Count a duration and add it to the total, in milliseconds."""
         self.counts[metric.label + suffix] += 1
         self.gauges[metric.label + suffix] = self.gauges.get(metric.label + suffix, 0.0) + value_ms
 
--- a/packages/core/src/mountladder/metrics/metric.py
+++ b/packages/core/src/mountladder/metrics/metric.py
@@ -1,8 +1,8 @@
-# metric.py -- The names of all metrics
+# metric.py -- Names, types and meanings of all metrics
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The names of all metrics."""
+"""Names, types and meanings of all metrics."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Metric(Enum):
-    """A metric: its name, its statsd type and what it measures.
+    """A metric: its name, statsd type and meaning.
 
-    Names that end in a dot are followed by a code's name in lower case or by a stage's name. The
-    table in docs/METRICS.md is checked against this list.
+    A name that ends in a dot is a prefix of the lower-case name of a result code or the name of a
+    stage. The table in docs/METRICS.md is checked against this list.
     """
 
     REQUESTS = ("requests", "counter", "requests received")
--- a/packages/core/src/mountladder/metrics/metrics.py
+++ b/packages/core/src/mountladder/metrics/metrics.py
@@ -1,8 +1,8 @@
-# metrics.py -- Where metrics are sent
+# metrics.py -- Interface for recording metrics
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Where metrics are sent."""
+"""Interface for recording metrics."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Metrics(ABC):
-    """A sink of metrics."""
+    """Records counters, durations and gauges."""
 
     @abstractmethod
     def count(self, metric: Metric, suffix: str = "", number: int = 1) -> None:
--- a/packages/core/src/mountladder/metrics/prometheusmetrics.py
+++ b/packages/core/src/mountladder/metrics/prometheusmetrics.py
@@ -1,8 +1,8 @@
-# prometheusmetrics.py -- Metrics that are served as text
+# prometheusmetrics.py -- Metrics in the text format of Prometheus
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Metrics that are served as text."""
+"""Metrics in the text format of Prometheus."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mountladder.metrics.metrics import Metrics
 
 PREFIX = "mountladder_"
-# Latencies of the users' sheets lie between a few milliseconds and a deadline of 12 s.
+# Covers latencies from a few milliseconds up to a deadline of 12 s.
 BUCKETS_MS = (
     1,
     5,
@@ -40,10 +40,10 @@
 
 
 class PrometheusMetrics(Metrics):
-    """Counts in memory and renders everything in the text format of Prometheus.
+    """Keeps metrics in memory and renders them in the text format of Prometheus.
 
-    The library that writes the format is loaded when somebody asks for the text: a twentieth of
-    what a start takes, which most processes never need.
+    The client library is imported only when the text is first requested: importing it takes a
+    twentieth of a process's start-up time, and most processes never need it.
     """
 
     def __init__(self) -> None:
@@ -76,13 +76,13 @@
         return library.generate_latest(registry)
 
     def collect(self) -> Iterator[object]:
-        """Yield every metric as the library's kind of it."""
+        """Yield every metric as a metric family of the client library."""
         families = importlib.import_module("prometheus_client.core")
         for metric in Metric:
             yield self.family(metric, families)
 
     def family(self, metric: Metric, families: ModuleType) -> object:
-        """Return one metric with its values, as the library's kind of it."""
+        """Return one metric with its values as a metric family of the client library."""
         name = PREFIX + metric.label.rstrip(".")
         labels = ["name"] if metric.label.endswith(".") else []
         plain = [] if labels else [""]
@@ -102,7 +102,7 @@
         return family
 
     def buckets(self, metric: Metric, suffix: str) -> list[tuple[str, float]]:
-        """Return the upper bound of each bucket and how many durations do not exceed it."""
+        """Return the upper bound and the cumulative count of each bucket."""
         counts = self.timings[metric].get(suffix, [0] * (len(BUCKETS_MS) + 1))
         bounds = [*(f"{one:.1f}" for one in BUCKETS_MS), "+Inf"]
         return [(bound, float(sum(counts[: n + 1]))) for n, bound in enumerate(bounds)]
--- a/packages/core/src/mountladder/metrics/statsdmetrics.py
+++ b/packages/core/src/mountladder/metrics/statsdmetrics.py
@@ -15,7 +15,7 @@
 
 
 class StatsdMetrics(MemoryMetrics):
-    """Sends every metric to a statsd server over UDP and keeps the counts for the status page.
+    """Sends metrics to a statsd server over UDP and keeps them for the status page.
 
     Args:
         host: The server's IP number.
--- a/packages/core/src/mountladder/requests/__init__.py
+++ b/packages/core/src/mountladder/requests/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- The way of a request through an instance
+# __init__.py -- Processing of pipeline requests on an entry instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The way of a request through an instance."""
+"""Processing of pipeline requests on an entry instance."""
--- a/packages/core/src/mountladder/requests/answer.py
+++ b/packages/core/src/mountladder/requests/answer.py
@@ -1,8 +1,8 @@
-# answer.py -- The whole answer to a request
+# answer.py -- The complete answer to a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The whole answer to a request."""
+"""The complete answer to a request."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The whole answer to one request.
+    """The complete answer to one request.
 
     Attributes:
         request: The id of the request that ran.
         revision: The configuration revision it was admitted under.
-        result: The result of the last stage as JSON; a stream's whole text as a JSON string.
-        tokens: How many tokens were streamed.
-        timings: Where and how long each stage ran.
+        result: The result of the last stage as JSON; a stream's full text as a JSON string.
+        tokens: The number of streamed tokens.
+        timings: The server and duration of each stage.
     """
 
     request: str
@@ -45,7 +45,7 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Answer:
-        """Read an answer that was kept.
+        """Parse a stored answer.
 
         Raises:
             BadRowError: The value is not an answer.
@@ -60,4 +60,4 @@
                 timings=tuple(StageTiming(**timing) for timing in table["stages"]),
             )
         except MALFORMED as error:
-            raise BadRowError(f"a kept answer cannot be read: {error}") from error
+            raise BadRowError(f"a stored answer cannot be parsed: {error}") from error
--- a/packages/core/src/mountladder/requests/attempt.py
+++ b/packages/core/src/mountladder/requests/attempt.py
@@ -1,8 +1,8 @@
-# attempt.py -- One attempt that was begun
+# attempt.py -- A started attempt at a stage
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One attempt that was begun."""
+"""A started attempt at a stage."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """An attempt that was begun on a chosen server.
+    """A started attempt at a stage on a chosen server.
 
     Attributes:
         choice: The routing decision.
-        call: What the server is asked.
-        started: When, in the clock's milliseconds.
+        call: The call to the server.
+        started: When it started, in the clock's milliseconds.
     """
 
     choice: Choice
--- a/packages/core/src/mountladder/requests/attempts.py
+++ b/packages/core/src/mountladder/requests/attempts.py
@@ -1,7 +1,7 @@
-# attempts.py -- The attempts at the stages of one request
+# attempts.py -- Attempts at the stages of one request and the rules of their retries
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
-"""The attempts at the stages of one request."""
+"""Attempts at the stages of one request and the rules of their retries."""
 
 from __future__ import annotations
 
@@ -25,28 +25,35 @@
 from mountladder.routing.choice import Choice
 from mountladder.routing.stagetiming import StageTiming
 
+# Max. number of attempts at one stage.
 MOST_ATTEMPTS = 4
+# Mean pause before the first retry; it doubles with each retry and is jittered by half.
 BACKOFF_MS = 20.0
+# How much of a request's input is hashed to route equal prompt prefixes to the same engine.
 PREFIX_BYTES = 256
+# The first attempt times out after this multiple of its expected time; see patience().
 PATIENCE = 4.0
+# Min. timeout of an attempt, and the longest gap between tokens of a stream.
 STALL_MS = 1_000.0
+# How long a stage that must not be repeated may run past the deadline.
 GRACE_MS = 30_000.0
+# A stage is not started if it is expected to take more than this multiple of the remaining time.
 GIVE_UP = 1.15
 
 
 class Attempts:
-    """Begins attempts at stages, judges how they end, and repeats what may be repeated.
+    """Starts attempts at stages, records their outcomes and decides whether they are retried.
 
     Args:
         request: The request.
-        trace: Where each attempt is recorded.
-        context: What runs share.
+        trace: Records each attempt.
+        context: The components shared by all runs.
 
     Attributes:
         dispatched: Whether any stage may have begun to run at a backend server.
         unrepeatable: The stages that may have run and must not be repeated.
-        timings: Where and how long each finished stage ran.
-        case: The request as the quarantine sees it.
+        timings: The server and duration of each finished stage.
+        case: The request as tracked by the quarantine.
     """
 
     def __init__(self, request: Request, trace: Trace, context: RunContext) -> None:
@@ -61,10 +68,10 @@
 
     @contextmanager
     def watched(self, attempt: Attempt, tries: Tries) -> Iterator[None]:
-        """Judge how an attempt ends; return where it failed and may be repeated.
+        """Record an attempt that fails or is cancelled in this block; pass if it may be retried.
 
         Raises:
-            RunError: It failed for good.
+            RunError: It failed and may not be retried.
         """
         try:
             yield
@@ -75,20 +82,22 @@
             raise
 
     def begin(self, tries: Tries, left: Sequence[Stage]) -> Attempt:
-        """Choose a server by the newest known selectors and build the call.
+        """Choose a server by the newest known configuration and build the call.
 
         Args:
             tries: The attempts at the stage so far.
             left: The stages not yet run, this one included.
 
         Raises:
-            StageError: There is no time or no server; nothing was sent.
+            StageError: No time is left or no server is available; nothing was sent.
         """
         clock = self.context.clock
         stage, body = tries.stage, tries.body
         remaining = self.request.deadline - clock.now()
         if remaining <= 0:
-            raise StageError("no time is left for the stage", Code.DEADLINE_PASSED, False)
+            raise StageError(
+                "the deadline passed before the stage was sent", Code.DEADLINE_PASSED, False
+            )
         self.case.of_stage(stage.name).admit(remaining)
         remaining = self.request.deadline - clock.now()
         configuration = self.context.follower.configuration
@@ -112,7 +121,10 @@
         return Attempt(choice, call, clock.now())
 
     def give_up_early(self, choice: Choice, tries: Tries, remaining: float) -> None:
-        """Raise where even the chosen server is not expected to finish in time by far."""
+        """Raise StageError if the chosen server is expected to miss the deadline by a wide margin.
+
+        A stage that must not be repeated is sent all the same.
+        """
         if choice.expected_ms > GIVE_UP * remaining and self.may_repeat(tries.stage):
             self.context.router.withdraw(choice)
             detail = f"it was expected to take {choice.expected_ms:.0f} ms"
@@ -121,8 +133,8 @@
     def call(self, tries: Tries, expected_ms: float, remaining: float) -> StageCall:
         """Return the call of the next attempt.
 
-        An attempt that may be repeated is given up in time for another one. One that may not is
-        let go on after the deadline, so that its outcome becomes known.
+        An attempt that may be repeated times out early enough for another one. One that must not
+        be repeated may run past the deadline, so that its outcome becomes known.
         """
         stage = tries.stage
         patience = self.patience(tries, expected_ms, remaining)
@@ -140,10 +152,10 @@
         )
 
     def patience(self, tries: Tries, expected_ms: float, remaining: float) -> float:
-        """Return how long an attempt may take, up to its first token where it streams.
+        """Return the timeout of an attempt, or of its first token if it streams.
 
-        It grows from attempt to attempt, in case the expectation was wrong. An attempt after which
-        there would be no time for another may take all that is left.
+        It doubles with each attempt, in case the expected time was too low. An attempt after which
+        no time for another would remain may use all the time that is left.
         """
         if not self.may_repeat(tries.stage):
             return remaining + GRACE_MS
@@ -151,11 +163,11 @@
         return remaining if remaining - patience < expected_ms else patience
 
     def may_repeat(self, stage: Stage) -> bool:
-        """Tell whether a stage may be run again after it may have run."""
+        """Return whether a stage may be run again after it may have run."""
         return stage.idempotent and self.request.idempotent
 
     def succeed(self, attempt: Attempt, tries: Tries, load: int | None) -> None:
-        """Record an attempt that gave its whole result."""
+        """Record an attempt that returned its complete result."""
         self.mark_dispatched()
         stage = tries.stage
         elapsed = self.elapsed(attempt)
@@ -174,7 +186,11 @@
         self.case.of_stage(stage.name).answered()
 
     def fail(self, attempt: Attempt, tries: Tries, error: StageError) -> None:
-        """Record a failed attempt; return where it may be repeated, raise where it may not."""
+        """Record a failed attempt and pause before a retry.
+
+        Raises:
+            RunError: It may not be retried.
+        """
         stage = tries.stage
         if error.dispatched:
             self.mark_dispatched()
@@ -202,9 +218,9 @@
         self.context.clock.sleep(min(pause, max(0.0, self.request.deadline - attempt.started)))
 
     def check_repeat(self, stage: Stage, tries: Tries, error: StageError) -> None:
-        """Raise where a failed attempt may not be repeated."""
+        """Raise RunError if a failed attempt may not be retried."""
         if error.dispatched and not self.may_repeat(stage):
-            detail = f"{error.detail}; it is not repeated"
+            detail = f"{error.detail}; it is not idempotent and not retried"
             raise RunError(detail, Code.OUTCOME_UNKNOWN, stage.name) from error
         if error.code in {Code.DEADLINE_PASSED, Code.STAGE_FAILED}:
             raise RunError(error.detail, error.code, stage.name) from error
@@ -214,7 +230,7 @@
             raise RunError(error.detail, Code.RETRY_BUDGET_SPENT, stage.name) from error
 
     def abandon(self, attempt: Attempt) -> None:
-        """Record an attempt that was given up from outside, and cancel it at its server."""
+        """Record an attempt whose request was cancelled, and cancel it at its server."""
         self.mark_dispatched()
         stage, body = attempt.call.stage, attempt.call.body
         self.context.router.failed(attempt.choice, Code.CANCELLED, 0.0, stage, len(body))
@@ -225,7 +241,7 @@
         self.cancel(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ask the server to stop an attempt, without waiting for it."""
+        """Ask the server to cancel an attempt, without waiting for it."""
         self.context.metrics.count(Metric.CANCELLED)
         server = attempt.choice.state.server
         gevent.spawn(self.context.backend.cancel, server, attempt.call.attempt)
@@ -239,7 +255,7 @@
         return self.context.clock.now() - attempt.started
 
     def charge(self, attempt: Attempt, use: str) -> float:
-        """Charge the time of an attempt; return what it cost."""
+        """Charge the time of an attempt to the ledger and return its cost."""
         server = attempt.choice.state.server
         elapsed = self.elapsed(attempt)
         charge = Charge(
--- a/packages/core/src/mountladder/requests/backend.py
+++ b/packages/core/src/mountladder/requests/backend.py
@@ -1,8 +1,8 @@
-# backend.py -- Calls to backend servers
+# backend.py -- Interface for calls to backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls to backend servers."""
+"""Interface for calls to backend servers."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
     @abstractmethod
     def run(self, server: BackendServer, call: StageCall) -> StageResult:
-        """Run a stage and return its whole result.
+        """Run a stage and return its complete result.
 
         Raises:
-            StageError: The attempt failed; it says whether the server may have begun to run it.
+            StageError: The attempt failed; `dispatched` shows whether it may have begun to run.
         """
 
     @abstractmethod
     def stream(self, server: BackendServer, call: StageCall) -> Iterator[Chunk]:
-        """Run a stage and yield its tokens in order, each once, after those already held.
+        """Run a stage and yield its tokens in order, each once, after those received before.
 
         Raises:
-            StageError: The attempt failed or the stream ended before its end.
+            StageError: The attempt failed or the stream was cut.
         """
 
     @abstractmethod
     def refuses(self, server: BackendServer) -> bool:
-        """Tell whether nobody listens at a server's address, so that it has ended."""
+        """Return whether connections to a server's address are refused, so that it has crashed."""
 
     @abstractmethod
     def cancel(self, server: BackendServer, attempt: str) -> None:
-        """Ask a server to stop an attempt; a failure to reach it is not an error."""
+        """Ask a server to cancel an attempt; no error is raised if it cannot be reached."""
--- a/packages/core/src/mountladder/requests/callerrequest.py
+++ b/packages/core/src/mountladder/requests/callerrequest.py
@@ -1,8 +1,8 @@
-# callerrequest.py -- A request as a caller sent it
+# callerrequest.py -- A caller's request before it is validated
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request as a caller sent it."""
+"""A caller's request before it is validated."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A request before it is checked.
+    """A caller's request before it is validated.
 
     Attributes:
         pipeline: The name of the pipeline.
         token: The team's token.
         input: The input as JSON.
-        arrived: When it came in, in the clock's milliseconds.
-        deadline_ms: How long it may take, or None for the pipeline's own deadline.
+        arrived: When it was received, in the clock's milliseconds.
+        deadline_ms: The time limit from its arrival, or None for the pipeline's default.
         key: The Idempotency-Key, or an empty string.
-        idempotent: False where the caller marked it as non-idempotent.
-        first: Whether the caller promises that it never sent this key before.
+        idempotent: False if the caller marked it as non-idempotent.
+        first: Whether the caller asserts that it never sent this key before.
     """
 
     pipeline: str
--- a/packages/core/src/mountladder/requests/chunk.py
+++ b/packages/core/src/mountladder/requests/chunk.py
@@ -1,8 +1,8 @@
-# chunk.py -- A piece of a stream
+# chunk.py -- Consecutive tokens of a stream
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A piece of a stream."""
+"""Consecutive tokens of a stream."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Some tokens of a stream, as server-sent events that callers can read.
+    """Consecutive tokens of a stream, as server-sent events for callers.
 
     Attributes:
         first: The number of the first token in it, counting from 1.
-        count: How many tokens it holds.
+        count: The number of tokens.
         events: The events, each with the token's number as its id.
-        load: How many calls the backend server reported to have, or None.
+        load: The number of running calls that the backend server reported, or None.
     """
 
     first: int
--- a/packages/core/src/mountladder/requests/configuredlisting.py
+++ b/packages/core/src/mountladder/requests/configuredlisting.py
@@ -1,8 +1,8 @@
-# configuredlisting.py -- Ends of servers that operators have configured
+# configuredlisting.py -- Server listing based on the operators' configuration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Ends of servers that operators have configured."""
+"""Server listing based on the operators' configuration."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 
 class ConfiguredListing(ServerListing):
-    """Ends of servers that operators have configured, which keep their names when they start again.
+    """Answers what is known about crashes of servers from the operators' configuration.
 
-    The configuration tells nothing of starts, so that an end is named by its time.
+    A configured server keeps its name when it restarts, and the configuration does not show
+    restarts. The name of a crashed incarnation therefore holds the time of the crash.
     """
 
     def is_shutting_down(self, server: BackendServer) -> bool:
-        """Tell whether operators are draining a server; see ServerListing."""
+        """Return whether operators are draining a server; see ServerListing."""
         return server.draining
 
     def is_unlisted(self, server: BackendServer) -> bool:
-        """Return False, since the configuration does not tell; see ServerListing."""
+        """Return False, since the configuration does not show it; see ServerListing."""
         return False
 
     def incarnation_name(self, server: BackendServer, crashed_at: float) -> str:
-        """Return the server's name and when it ended; see ServerListing."""
+        """Return the server's name and the time of the crash; see ServerListing."""
         return f"{server.name}@{crashed_at:.0f}"
 
     def service(self, server: BackendServer) -> str:
--- a/packages/core/src/mountladder/requests/detachedrun.py
+++ b/packages/core/src/mountladder/requests/detachedrun.py
@@ -1,8 +1,8 @@
-# detachedrun.py -- A run that goes on when its caller goes away
+# detachedrun.py -- A run that continues after its caller disconnects
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A run that goes on when its caller goes away."""
+"""A run that continues after its caller disconnects."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class DetachedRun:
-    """Runs a pipeline in a task of its own and hands its chunks to whoever still reads.
+    """Runs a pipeline in its own task and passes the chunks to a caller while one reads them.
 
-    A request that must not be repeated is not cut when its caller goes away or its deadline
-    passes: its outcome is kept for repeats.
+    A request that must not be repeated is not cancelled when its caller disconnects or its
+    deadline passes: its outcome is recorded for repeats with the same key.
 
     Args:
         run: The run.
         clock: The clock.
-        ended: Called once with the error it ended with, or None.
-        tasks: Where its task belongs.
+        ended: Called once the run finished, with its error or None.
+        tasks: The group that the task is added to.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.task = tasks.spawn(self.work)
 
     def work(self) -> None:
-        """Run to the end."""
+        """Run the pipeline to completion."""
         try:
             for chunk in self.run.chunks():
                 self.chunks.append(chunk)
@@ -61,7 +61,7 @@
             self.more.set()
 
     def read(self) -> Iterator[Chunk]:
-        """Yield the chunks as they come, until the run ends or the deadline passes.
+        """Yield the chunks as they arrive, until the run finishes or the deadline passes.
 
         Raises:
             RunError: The run failed, or the deadline passed before its outcome was known.
@@ -81,7 +81,7 @@
             raise self.error
 
     def too_late(self) -> RunError:
-        """Return the error for a caller whose deadline passed while the run goes on."""
+        """Return the error for a caller whose deadline passed while the run continues."""
         if self.run.attempts.unrepeatable:
             detail = "the deadline passed; a repeat with the same key may get the answer"
             return RunError(detail, Code.OUTCOME_UNKNOWN, retry_after_ms=1_000.0)
--- a/packages/core/src/mountladder/requests/eventreader.py
+++ b/packages/core/src/mountladder/requests/eventreader.py
@@ -1,8 +1,8 @@
-# eventreader.py -- Reading an engine's stream of tokens
+# eventreader.py -- Parses an engine's token stream
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Reading an engine's stream of tokens."""
+"""Parses an engine's token stream."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class EventReader:
-    """Cuts bytes into events and checks that every token comes once and in order.
+    """Splits bytes into events and checks that every token arrives once and in order.
 
     Args:
-        held: How many tokens are held already; events up to it are left out.
+        held: The number of tokens received by earlier attempts; their events are skipped.
 
     Attributes:
-        ended: Whether the stream's end was read.
+        ended: Whether the end of the stream was received.
     """
 
     def __init__(self, held: int) -> None:
@@ -36,7 +36,7 @@
         self.rest = b""
 
     def feed(self, data: bytes, load: int | None) -> Chunk | None:
-        """Take in bytes; return the new tokens that are whole, or None.
+        """Add received bytes and return the new complete tokens, or None.
 
         Raises:
             StageError: The engine reported an error, or the stream is malformed.
@@ -49,14 +49,14 @@
         data = self.rest + data
         *events, self.rest = data.split(_END)
         if len(self.rest) > MOST_EVENT_BYTES:
-            raise StageError("an event is too long", Code.BAD_ANSWER)
+            raise StageError("an event exceeds the maximum length", Code.BAD_ANSWER)
         fresh = [event for event in events if self.is_fresh(event)]
         if not fresh:
             return None
         return Chunk(first, len(fresh), _END.join(fresh) + _END, load)
 
     def is_fresh(self, event: bytes) -> bool:
-        """Check an event; tell whether it holds the next token."""
+        """Check an event and return whether it holds the next token."""
         match = _EVENT.fullmatch(event)
         if match is None:
             self.take_other(event)
@@ -67,25 +67,27 @@
         if number != self.held + 1 or self.ended:
             raise StageError(f"token {number} follows token {self.held}", Code.BAD_ANSWER)
         if match.group(2)[:1] != b'"':
-            raise StageError("a token is not a string", Code.BAD_ANSWER)
+            raise StageError("a token is not a JSON string", Code.BAD_ANSWER)
         self.held = number
         return True
 
     def take_other(self, event: bytes) -> None:
-        """Take in an event that holds no token."""
+        """Handle an event that holds no token."""
         if event.startswith(_DONE):
             self.take_end(event[len(_DONE) :])
         elif event.startswith(_ERROR):
             raise StageError(event[len(_ERROR) :].decode("utf-8", "replace")[:200])
         elif not event.startswith(b":"):
-            raise StageError("an event cannot be read", Code.BAD_ANSWER)
+            raise StageError("an event cannot be parsed", Code.BAD_ANSWER)
 
     def take_end(self, data: bytes) -> None:
-        """Check the end of the stream against the tokens read."""
+        """Check the token count in the end event against the tokens received."""
         try:
             tokens = int(json.loads(data)["tokens"])
         except MALFORMED as error:
-            raise StageError("the end of a stream cannot be read", Code.BAD_ANSWER) from error
+            raise StageError(
+                "the end event of a stream cannot be parsed", Code.BAD_ANSWER
+            ) from error
         if tokens != self.held:
-            raise StageError(f"{tokens} tokens were sent, {self.held} came", Code.STREAM_CUT)
+            raise StageError(f"{tokens} tokens were sent, {self.held} received", Code.STREAM_CUT)
         self.ended = True
--- a/packages/core/src/mountladder/requests/gateway.py
+++ b/packages/core/src/mountladder/requests/gateway.py
@@ -1,8 +1,8 @@
-# gateway.py -- The way of a request through an instance
+# gateway.py -- Validation, admission and execution of requests on an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The way of a request through an instance."""
+"""Validation, admission and execution of requests on an instance."""
 
 from __future__ import annotations
 
@@ -34,28 +34,34 @@
 from mountladder.routing.estimate import estimate
 
 LONGEST_DEADLINE_MS = 600_000.0
+# Min. interval between requests of a pipeline that are admitted against the estimate.
 PROBE_EVERY_MS = 2_000.0
+# No request is admitted against the estimate if that exceeds this multiple of the remaining time.
 HOPELESS = 1.5
+# A request is refused if its weighted estimate exceeds this fraction of the remaining time.
 MARGIN = 0.85
+# Exponent of a team's excess over its share, which weights the load in its requests' estimates.
 SEVERITY = 2.0
+# Up to this multiple of its share, a team's requests are not weighted.
 TOLERATED = 1.5
+# The retry_after_ms of refusals.
 REFUSED_RETRY_MS = 1_000.0
-# These refuse a key without having looked it up, so that an earlier call with it may have run.
+# These errors are raised before the key is looked up: an earlier request with it may have run.
 _BEFORE_THE_KEY = frozenset({Code.NOT_READY, Code.STORE_NEEDED})
 
 
 class Gateway:
-    """Takes requests in, decides whether they run, runs them and keeps account of them.
+    """Validates requests, decides whether to admit them, runs them and records their outcomes.
 
     Args:
         incarnation: The incarnation of this instance, which request ids start with.
-        context: What runs share.
-        admission: Which requests run and which wait.
-        idempotency: Which keys may run.
-        traces: Where traces are kept.
+        context: The components shared by all runs.
+        admission: Limits the running and waiting requests.
+        idempotency: Decides whether a request with a key may run.
+        traces: Stores the traces.
 
     Attributes:
-        runs: The tasks of runs that go on when their callers go away.
+        runs: The tasks of runs that continue after their callers disconnect.
     """
 
     def __init__(
@@ -77,14 +83,14 @@
         self.probed_at: dict[str, float] = {}
 
     def serve(self, called: CallerRequest) -> Reply:
-        """Take a request in.
+        """Process a request up to the point where it runs.
 
         Returns:
-            What it is answered with. A run starts when its chunks are read.
+            The reply. A run starts when its chunks are read.
 
         Raises:
             RefusalError: It did not run.
-            RunError: Its key's request runs already, or its outcome is unknown.
+            RunError: A request with its key is running, or has an unknown outcome.
         """
         self.context.metrics.count(Metric.REQUESTS)
         try:
@@ -104,10 +110,10 @@
         return self.run_reply(request, decision.run)
 
     def read(self, called: CallerRequest) -> Request:
-        """Check and authenticate a request.
+        """Validate and authenticate a request.
 
         Raises:
-            RefusalError: It is malformed, from nobody known, or lacks a key.
+            RefusalError: It is malformed, its token is unknown, or it lacks a key.
         """
         team = self.team(called.token)
         pipeline = self.context.follower.configuration.pipeline(called.pipeline)
@@ -131,10 +137,10 @@
         return request
 
     def team(self, token: str) -> Team:
-        """Return the team that a token belongs to.
+        """Return the team to which a token belongs.
 
         Raises:
-            RefusalError: It belongs to none, or no configuration is known yet.
+            RefusalError: It belongs to no team, or no configuration is known yet.
         """
         if not self.context.follower.ready:
             raise RefusalError("", Code.NOT_READY, retry_after_ms=REFUSED_RETRY_MS)
@@ -145,7 +151,7 @@
         return team
 
     def run_reply(self, request: Request, record: KeyRecord | None) -> Reply:
-        """Return the reply to a request that is to run here."""
+        """Return the reply to a request that runs on this instance."""
         trace = Trace(request.id, self.context.clock, self.context.follower.configuration.revision)
         self.traces.add(trace)
         trace.add("received", reason=f"pipeline {request.pipeline.name}, team {request.team.name}")
@@ -154,7 +160,7 @@
         return Reply(request, chunks=chunks, answer=lambda: run.answer.encode())
 
     def run(self, run: PipelineRun) -> Iterator[Chunk]:
-        """Run a request that may be repeated, in the caller's own task."""
+        """Run a request that may be repeated, in the caller's task."""
         error: MountladderError | None = None
         try:
             self.enter(run.request)
@@ -172,7 +178,7 @@
             self.account(run, error)
 
     def run_once(self, run: PipelineRun, record: KeyRecord) -> Iterator[Chunk]:
-        """Run a request that must not be repeated, in a task that its caller cannot cut."""
+        """Run a request that must not be repeated, in a task that its caller cannot cancel."""
         try:
             self.enter(run.request)
         except BaseException as error:
@@ -182,7 +188,7 @@
             raise
 
         def ended(error: MountladderError | None) -> None:
-            """Settle the key and the account once the run ends."""
+            """Record the outcome of the key and of the request once the run finished."""
             self.admission.leave(run.request.team)
             if error is None:
                 self.idempotency.finish(record, run.answer.encode())
@@ -193,10 +199,13 @@
         yield from DetachedRun(run, self.context.clock, ended, self.runs).read()
 
     def enter(self, request: Request) -> None:
-        """Refuse a request whose deadline cannot be met, or wait for a place.
+        """Wait for admission, or refuse a request that is not expected to meet its deadline.
 
-        What the load adds to the expected time counts more for a team that is over its share, so
-        that under pressure its requests are refused before those of others.
+        The part of the estimate that is due to load weighs more for a team over its share, so that
+        its requests are refused before those of other teams under overload.
+
+        Raises:
+            RefusalError: The deadline cannot be met, or the request is not admitted in time.
         """
         now = self.context.clock.now()
         expected = estimate(self.context, request)
@@ -217,14 +226,14 @@
         self.usage.add(request.team, expected.unloaded_ms)
 
     def probes(self, pipeline: str, now: float) -> bool:
-        """Tell whether a request may run against the estimate, so that a wrong one is noticed."""
+        """Return whether a request may run despite its estimate, to correct a wrong one."""
         if now - self.probed_at.get(pipeline, float("-inf")) < PROBE_EVERY_MS:
             return False
         self.probed_at[pipeline] = now
         return True
 
     def account(self, run: PipelineRun, error: MountladderError | None) -> None:
-        """Count the end of a request and close its trace."""
+        """Record the outcome of a request in the metrics and its trace."""
         metrics = self.context.metrics
         now = self.context.clock.now()
         metrics.timing(Metric.REQUEST_MS, now - run.trace.started)
--- a/packages/core/src/mountladder/requests/pipelinerun.py
+++ b/packages/core/src/mountladder/requests/pipelinerun.py
@@ -1,8 +1,8 @@
-# pipelinerun.py -- One run of a pipeline for one request
+# pipelinerun.py -- Runs the stages of a pipeline for one request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One run of a pipeline for one request."""
+"""Runs the stages of a pipeline for one request."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from mountladder.requests.tries import Tries
 from mountladder.routing.pace import Pace
 
-# When a caller may come back where nothing tells it better.
+# The retry_after_ms of refusals that have none of their own.
 USUAL_BACK_MS = 1_000.0
 _DATA = re.compile(rb'^data: "(.*)"$', re.MULTILINE)
 
 
 class PipelineRun:
-    """Runs the stages of one request, retries what may be retried, and gathers its answer.
+    """Runs the stages of one request, with retries, and builds its answer.
 
     Attributes:
-        attempts: The attempts at its stages.
-        answer: The whole answer, once every stage is done.
+        attempts: Starts and records the attempts at its stages.
+        answer: The complete answer, once every stage is done.
     """
 
     def __init__(self, request: Request, trace: Trace, context: RunContext) -> None:
@@ -49,11 +49,11 @@
         self.answer: Answer | None = None
 
     def chunks(self) -> Iterator[Chunk]:
-        """Run every stage and yield the tokens of the last one where it streams.
+        """Run all stages and yield the tokens of the last one if it streams.
 
         Raises:
             RefusalError: No stage was dispatched.
-            RunError: A stage failed for good, or its outcome is unknown.
+            RunError: A stage failed and was not retried, or its outcome is unknown.
         """
         stages = self.request.pipeline.stages
         try:
@@ -69,7 +69,7 @@
         self.answer = self.make_answer()
 
     def run_group(self, group: list[Stage]) -> None:
-        """Run stages that do not need each other side by side."""
+        """Run independent stages concurrently."""
         if len(group) <= 1:
             for stage in group:
                 self.run_stage(stage)
@@ -81,7 +81,7 @@
             gevent.killall(tasks)
 
     def run_stage(self, stage: Stage) -> None:
-        """Run a stage whose result comes whole."""
+        """Run a stage that is not streamed."""
         tries = Tries(stage, self.body(stage), self.context.clock.now())
         while stage.name not in self.results:
             attempt = self.attempts.begin(tries, self.left())
@@ -91,7 +91,7 @@
                 self.results[stage.name] = result.value
 
     def stream(self, stage: Stage) -> Iterator[Chunk]:
-        """Run a stage whose result is streamed; resume it elsewhere where it is cut."""
+        """Run a streamed stage; if the stream is cut, resume it on another server."""
         tries = Tries(stage, self.body(stage), self.context.clock.now())
         while stage.name not in self.results:
             attempt = self.attempts.begin(tries, self.left())
@@ -110,11 +110,11 @@
                 self.results[stage.name] = text
 
     def left(self) -> list[Stage]:
-        """Return the stages that have no result yet."""
+        """Return the stages without a result."""
         return [one for one in self.request.pipeline.stages if one.name not in self.results]
 
     def body(self, stage: Stage) -> bytes:
-        """Return the input of a stage: the request's input and the results it needs."""
+        """Return the body of a stage's call: model, input and the results the stage depends on."""
         needed = b",".join(
             json.dumps(name).encode() + b":" + self.results[name] for name in stage.after
         )
@@ -125,7 +125,7 @@
         """Return the streamed text as one JSON string.
 
         Raises:
-            StageError: The tokens do not make a JSON string.
+            StageError: The tokens do not form a JSON string.
         """
         text = b'"%b"' % b"".join(_DATA.findall(b"".join(self.events)))
         try:
@@ -135,14 +135,14 @@
         return text
 
     def make_answer(self) -> Answer:
-        """Return the whole answer."""
+        """Return the complete answer."""
         result = self.results[self.request.pipeline.stages[-1].name]
         return Answer(
             self.request.id, self.trace.revision, result, self.tokens, tuple(self.attempts.timings)
         )
 
     def final_error(self, error: MountladderError) -> MountladderError:
-        """Return an error as the caller is to see it: "not run" only where nothing was sent."""
+        """Return an error for the caller: its class is "not_run" only if nothing was sent."""
         if not self.attempts.dispatched:
             back_ms = error.retry_after_ms or USUAL_BACK_MS
             return RefusalError(
--- a/packages/core/src/mountladder/requests/reply.py
+++ b/packages/core/src/mountladder/requests/reply.py
@@ -1,8 +1,8 @@
-# reply.py -- What a request is answered with
+# reply.py -- How a request is answered
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a request is answered with."""
+"""How a request is answered."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a request is answered with: a kept answer, another instance's, or a run of its own.
+    """How a request is answered: by a stored answer, by another instance, or by a run.
 
     Attributes:
         request: The request.
-        kept: A kept answer as JSON, or None.
-        home: The issued key whose home must be asked, or None.
-        chunks: The tokens of the run, where it is one; the answer is whole once it ends.
-        answer: Returns the whole answer as JSON once the chunks have ended.
+        kept: A stored answer as JSON, or None.
+        home: The issued key whose issuing instance must be asked, or None.
+        chunks: The tokens of the run, or None; the run is complete once they are exhausted.
+        answer: Returns the complete answer as JSON once the chunks are exhausted.
     """
 
     request: Request
--- a/packages/core/src/mountladder/requests/request.py
+++ b/packages/core/src/mountladder/requests/request.py
@@ -1,8 +1,8 @@
-# request.py -- A request of a caller
+# request.py -- A validated and authenticated request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request of a caller."""
+"""A validated and authenticated request."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request that was read and authenticated.
+    """A validated and authenticated request.
 
     Attributes:
-        id: The id the instance gave it.
-        pipeline: The pipeline it names.
+        id: The id assigned by the instance.
+        pipeline: The requested pipeline.
         team: The team that sent it.
         input: The input as JSON.
-        deadline: When the answer must be whole, in the clock's milliseconds.
+        deadline: When the answer must be complete, in the clock's milliseconds.
         key: The caller's Idempotency-Key, or an empty string.
-        idempotent: False where the caller marked the whole request as non-idempotent.
+        idempotent: False if the caller marked the whole request as non-idempotent.
     """
 
     id: str
@@ -37,11 +37,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether every stage of the request may be run again."""
+        """Return whether every stage of the request may be run again."""
         return self.idempotent and self.pipeline.idempotent
 
     @property
     def fingerprint(self) -> str:
-        """Return a hash of what the request asks for, by which a reused key is found out."""
+        """Return a hash of pipeline and input, which detects a key reused for another request."""
         digest = hashlib.sha256(self.pipeline.name.encode() + b"\0" + self.input)
         return digest.hexdigest()[:32]
--- a/packages/core/src/mountladder/requests/runcontext.py
+++ b/packages/core/src/mountladder/requests/runcontext.py
@@ -1,8 +1,8 @@
-# runcontext.py -- What every run of a pipeline shares on one instance
+# runcontext.py -- Components shared by all pipeline runs of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What every run of a pipeline shares on one instance."""
+"""Components shared by all pipeline runs of an instance."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunContext:
-    """What the runs on one instance share.
+    """Components shared by all pipeline runs of an instance.
 
     Attributes:
         clock: The clock.
@@ -32,9 +32,9 @@
         router: Chooses servers.
         backend: Calls servers.
         costs: The learnt times of stages.
-        ledger: Where cost is charged.
-        metrics: Where metrics go.
-        quarantine: Knows under which requests servers end.
+        ledger: Accumulates cost.
+        metrics: Receives the metrics.
+        quarantine: Bars requests that crash servers.
         budgets: The retry budgets by pipeline and stage.
     """
 
--- a/packages/core/src/mountladder/requests/stagecall.py
+++ b/packages/core/src/mountladder/requests/stagecall.py
@@ -1,8 +1,8 @@
-# stagecall.py -- One attempt at a stage
+# stagecall.py -- The call to a backend server for one attempt at a stage
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One attempt at a stage."""
+"""The call to a backend server for one attempt at a stage."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StageCall:
-    """What a backend server is asked to do.
+    """A call that asks a backend server to run one attempt at a stage.
 
     Attributes:
         request: The request's id.
-        attempt: The id of this attempt, which the answer must carry.
+        attempt: The id of this attempt, which the answer must repeat.
         stage: The stage.
         body: The input of the stage as JSON.
-        deadline: When the answer must be whole, in the clock's milliseconds.
-        priority: The urgency handed to engines; a lower number goes first.
-        tokens_held: How many tokens of the stream the instance holds already.
-        first_ms: How long the first token of a stream may take.
-        stall_ms: The longest silence between tokens of a stream.
+        deadline: When the answer must be complete, in the clock's milliseconds.
+        priority: The urgency passed to engines; a lower number is served first.
+        tokens_held: The number of tokens of the stream received by earlier attempts.
+        first_ms: The timeout of the result, or of the first token of a stream, in milliseconds.
+        stall_ms: The timeout between tokens of a stream, in milliseconds.
     """
 
     request: str
--- a/packages/core/src/mountladder/requests/stageplan.py
+++ b/packages/core/src/mountladder/requests/stageplan.py
@@ -1,8 +1,8 @@
-# stageplan.py -- The order of stages and the time each may take
+# stageplan.py -- Execution order and time budgets of stages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The order of stages and the time each may take."""
+"""Execution order and time budgets of stages."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 from mountladder.configuration.stage import Stage
 from mountladder.routing.costmodel import CostModel
 
+# The quantile of a stage's observed times by which the remaining time is split among stages.
 QUANTILE = 0.9
 
 
 def levels(stages: Sequence[Stage]) -> list[list[Stage]]:
-    """Return the stages in groups; the stages of a group need only those of earlier groups."""
+    """Return the stages in groups; stages of a group depend only on those of earlier groups."""
     depth: dict[str, int] = {}
     for stage in stages:
         depth[stage.name] = 1 + max((depth[name] for name in stage.after), default=-1)
@@ -29,8 +30,8 @@
 def weight(costs: CostModel, pipeline: Pipeline, stage: Stage) -> float:
     """Return a stage's weight in the split of the remaining time.
 
-    It is the share of the pipeline's deadline that its operator set, in milliseconds, or else a
-    high quantile of the time that the stage was seen to take.
+    It is the configured share of the pipeline's deadline, in milliseconds, or else a high
+    quantile of the observed times of the stage.
     """
     if stage.share > 0:
         return stage.share * pipeline.deadline_ms
@@ -43,14 +44,14 @@
 def stage_budget(
     costs: CostModel, pipeline: Pipeline, stage: Stage, left: Sequence[Stage], remaining_ms: float
 ) -> float:
-    """Return the part of the remaining time that a stage may take.
+    """Return the time budget of a stage, in milliseconds.
 
     Args:
         costs: The learnt times.
         pipeline: The pipeline.
         stage: The stage about to run.
         left: The stages not yet run, this one included.
-        remaining_ms: The time to the deadline.
+        remaining_ms: The time until the deadline.
     """
     total = sum(weight(costs, pipeline, one) for one in left)
     own = weight(costs, pipeline, stage)
--- a/packages/core/src/mountladder/requests/stageresult.py
+++ b/packages/core/src/mountladder/requests/stageresult.py
@@ -1,8 +1,8 @@
-# stageresult.py -- The whole result of a stage
+# stageresult.py -- The complete result of a stage that is not streamed
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The whole result of a stage."""
+"""The complete result of a stage that is not streamed."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StageResult:
-    """The whole result of a stage that is not streamed.
+    """The complete result of a stage that is not streamed.
 
     Attributes:
         value: The result as JSON.
-        load: How many calls the backend server reported to have, or None.
+        load: The number of running calls that the backend server reported, or None.
     """
 
     value: bytes
--- a/packages/core/src/mountladder/requests/trace.py
+++ b/packages/core/src/mountladder/requests/trace.py
@@ -1,8 +1,8 @@
-# trace.py -- What happened to one request
+# trace.py -- Trace of the events of one request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What happened to one request."""
+"""Trace of the events of one request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Trace:
-    """Records what happened to a request, for its explanation and for the log.
+    """Records the events of a request, for the explain command and the log.
 
     Args:
         request: The request's id.
--- a/packages/core/src/mountladder/requests/tracebook.py
+++ b/packages/core/src/mountladder/requests/tracebook.py
@@ -1,8 +1,8 @@
-# tracebook.py -- The latest requests and what happened to them
+# tracebook.py -- Traces of the most recent requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The latest requests and what happened to them."""
+"""Traces of the most recent requests."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class TraceBook:
-    """Keeps the traces of the latest requests of an instance."""
+    """Stores the traces of the most recent requests of an instance."""
 
     def __init__(self, kept: int = KEPT) -> None:
         self.kept = kept
         self.traces: OrderedDict[str, Trace] = OrderedDict()
 
     def add(self, trace: Trace) -> None:
-        """Keep a trace, dropping the oldest one where there are too many."""
+        """Add a trace and drop the oldest one above the limit."""
         self.traces[trace.request] = trace
         if len(self.traces) > self.kept:
             self.traces.popitem(last=False)
 
     def find(self, request: str) -> Trace | None:
-        """Return the trace of a request."""
+        """Return the trace of a request, or None if it is unknown."""
         return self.traces.get(request)
--- a/packages/core/src/mountladder/requests/traceentry.py
+++ b/packages/core/src/mountladder/requests/traceentry.py
@@ -1,8 +1,8 @@
-# traceentry.py -- One thing that happened to a request
+# traceentry.py -- One event in the trace of a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One thing that happened to a request."""
+"""One event in the trace of a request."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceEntry:
-    """One thing that happened to a request.
+    """One event in the trace of a request.
 
     Attributes:
-        at_ms: When, in milliseconds after the request came in.
-        event: What happened, such as "sent", "answered" or "failed".
+        at_ms: The time since the request was received, in milliseconds.
+        event: The event, such as "sent", "answered" or "failed".
         stage: The stage, or an empty string.
         attempt: The attempt's id, or an empty string.
         server: The backend server, or an empty string.
         code: The number of a result code, or 0.
-        reason: Why, in words.
+        reason: The reason, as text.
     """
 
     at_ms: float
--- a/packages/core/src/mountladder/requests/tries.py
+++ b/packages/core/src/mountladder/requests/tries.py
@@ -1,8 +1,8 @@
-# tries.py -- The attempts made at one stage of one request
+# tries.py -- Retry state of one stage of one request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The attempts made at one stage of one request."""
+"""Retry state of one stage of one request."""
 
 from __future__ import annotations
 
@@ -10,12 +10,17 @@
 
 
 class Tries:
-    """Counts the attempts at a stage and the servers that failed it.
+    """Counts the attempts at a stage and remembers the servers that failed.
+
+    Args:
+        stage: The stage.
+        body: The body of its calls.
+        started: When the first attempt started, in the clock's milliseconds.
 
     Attributes:
-        count: How many attempts were begun.
-        failed: The names of the servers that failed it.
-        tokens: How many tokens of its stream are held.
+        count: The number of attempts started.
+        failed: The names of the servers that failed.
+        tokens: The number of tokens of its stream received.
     """
 
     def __init__(self, stage: Stage, body: bytes, started: float) -> None:
--- a/packages/core/src/mountladder/resultclass.py
+++ b/packages/core/src/mountladder/resultclass.py
@@ -1,8 +1,8 @@
-# resultclass.py -- What a caller may conclude from a result
+# resultclass.py -- Classes of results that callers can rely on
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a caller may conclude from a result."""
+"""Classes of results that callers can rely on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ResultClass(Enum):
-    """The classes of result that callers can rely on."""
+    """What a caller may conclude from a result."""
 
     DONE = "done"
     NOT_RUN = "not_run"
--- a/packages/core/src/mountladder/runtime.py
+++ b/packages/core/src/mountladder/runtime.py
@@ -1,8 +1,8 @@
-# runtime.py -- An entry instance without its HTTP interface
+# runtime.py -- Wires and runs the parts of an entry instance, except HTTP
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An entry instance without its HTTP interface."""
+"""Wires and runs the parts of an entry instance, except HTTP."""
 
 from __future__ import annotations
 
@@ -48,27 +48,32 @@
 from mountladder.store.platform import Platform
 from mountladder.supervision import keep_running
 
+# How often this instance announces itself in the platform's list of instances.
 ANNOUNCE_MS = 5_000.0
+# How often a page of old claims is deleted, and its size in rows.
 SWEEP_MS = 10_000.0
 SWEEP_PAGE = 200
+# Min. pause between steps of following the configuration.
 TICK_MS = 100.0
+# By how much longer each rank waits than the one before until it reads the store itself.
 RANK_PATIENCE_MS = 1_000.0
+# How long an instance that cannot read the store waits for its peers before it is ready.
 PEER_GRACE_MS = 1_500.0
 
 
 class Runtime:
-    """Everything an entry instance does behind its HTTP interface.
+    """An entry instance without its HTTP interface.
 
     Args:
         settings: The settings.
         clock: The clock.
         platform: The platform's services.
         backend: Calls backend servers.
-        network: Reaches the other instances.
-        metrics: Where metrics go.
-        seed: The seed of its random numbers, or None for a different one each time.
-        policy: How backend servers are chosen, or None for the settings' one.
-        engines: Reads and orders engines, or None to send no orders.
+        network: Connects to the other instances.
+        metrics: Receives the metrics.
+        seed: The seed of its random numbers, or None for a random one.
+        policy: The routing policy, or None for the one in the settings.
+        engines: Reads the state of engines and sends them orders, or None to send none.
     """
 
     def __init__(
@@ -103,7 +108,7 @@
         self.orders = self.make_orders(engines)
 
     def build(self, backend: Backend, rng: random.Random, policy: Policy | None) -> None:
-        """Put the parts together."""
+        """Create and connect the components."""
         settings, clock, metrics = self.settings, self.clock, self.metrics
         table = self.platform.table
         self.follower = Follower(ChangeLog(table, self.platform.objects, clock), clock)
@@ -141,7 +146,7 @@
         )
 
     def make_quarantine(self, backend: Backend) -> QuarantineService:
-        """Return what knows under which requests servers end."""
+        """Return the quarantine, which bars requests that crash servers."""
         return QuarantineService(
             backend.refuses,
             ConfiguredListing(),
@@ -152,7 +157,7 @@
         )
 
     def make_orders(self, engines: Engines | None) -> Orders | None:
-        """Return what sends orders to the engines of this data centre, where any are sent."""
+        """Return the sender of orders to this data centre's engines, or None if it is disabled."""
         if engines is None or not self.settings.orders_ms:
             return None
         here = self.settings.datacentre
@@ -162,17 +167,17 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the instance may be sent requests.
+        """Return whether the instance can serve requests.
 
-        One that could not read the store waits a little for the peers it reaches, so that it does
-        not serve an older revision than they have.
+        An instance that could not read the store waits for its peers first, so that it does not
+        serve an older revision than theirs.
         """
         if self.stopping.is_set() or not self.follower.ready:
             return False
         return self.store_read or self.clock.now() - self.started >= PEER_GRACE_MS
 
     def start(self) -> None:
-        """Take in links of peers and start the tasks."""
+        """Accept connections from peers and start the background tasks."""
         self.network.listen(self.me, self.peers.serve, self.stack)
         loops = (
             self.follow,
@@ -189,11 +194,11 @@
         log_message("started", instance=self.me.name, incarnation=self.me.incarnation)
 
     def follow(self) -> None:
-        """Follow the configuration, for ever.
+        """Follow the configuration; does not return.
 
-        The first live instance of a data centre reads the store at the settings' rate. The others
-        hear from it, and read the store themselves only once nobody has told them for a time that
-        grows with their rank.
+        The first live instance of a data centre polls the store at the configured interval. The
+        others receive changes from it, and read the store themselves only after a time without
+        confirmation that grows with their rank.
         """
         while True:
             patience = self.patience_ms()
@@ -221,7 +226,7 @@
             self.metrics.count(Metric.STORE_ERRORS, "store_unavailable")
 
     def announce(self) -> None:
-        """Announce this instance on the platform's list and read it, for ever."""
+        """Announce this instance in the platform's list and read the list; does not return."""
         while True:
             try:
                 self.platform.instances.announce(self.me)
@@ -235,13 +240,13 @@
             self.clock.sleep(ANNOUNCE_MS)
 
     def flush_cost(self) -> None:
-        """Send the cost so far to the platform, for ever."""
+        """Send the accumulated cost to the platform periodically; does not return."""
         while True:
             self.clock.sleep(self.settings.cost_ms)
             self.try_flush_cost()
 
     def try_flush_cost(self) -> None:
-        """Send the cost so far; what cannot be sent is sent with the next."""
+        """Send the accumulated cost; if that fails, the next flush includes it."""
         try:
             if self.ledger.flush(self.platform.table):
                 self.metrics.count(Metric.COST_FLUSHES)
@@ -249,7 +254,7 @@
             self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
 
     def sweep(self) -> None:
-        """Delete old claims page by page, on the first live instance of the data centre."""
+        """Delete old claims page by page, on the first live instance only; does not return."""
         after = ""
         while True:
             self.clock.sleep(SWEEP_MS)
@@ -261,7 +266,7 @@
                 self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
 
     def send_orders(self) -> None:
-        """Keep the engines of this data centre at their wanted state, for ever."""
+        """Reconcile the engines of this data centre with their wanted state; does not return."""
         while self.orders is not None:
             if self.ready:
                 self.orders.step()
@@ -269,10 +274,10 @@
         self.stopping.wait()
 
     def stop(self) -> int:
-        """End gracefully: accept nothing new, finish what runs, then close everything.
+        """Shut down gracefully: refuse new requests, finish running ones, then close everything.
 
         Returns:
-            How many requests were cut because they took longer than the settings allow.
+            The number of requests that were aborted because shutdown_ms had passed.
         """
         self.stopping.set()
         self.admission.close()
@@ -291,7 +296,7 @@
         return cut
 
     def try_announce_leaving(self) -> None:
-        """Tell the platform that this instance is leaving."""
+        """Announce to the platform that this instance is leaving."""
         try:
             self.platform.instances.announce(dataclasses.replace(self.me, leaving=True))
         except MountladderError as error:
