--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -75,7 +75,11 @@
 def one_won(context, code, stated, found):
     errors = [one for one in context.raced if isinstance(one, RevisionConflictError)]
     assert len(errors) == 1, context.raced
-    assert (errors[0].code.number, errors[0].stated, errors[0].found) == (code, stated, found)
+    assert (errors[0].code.number, errors[0].base_revision, errors[0].current_revision) == (
+        code,
+        stated,
+        found,
+    )
     assert len(log_of(context).since(1)) == 1
 
 
--- a/features/steps/faultrun_steps.py
+++ b/features/steps/faultrun_steps.py
@@ -121,7 +121,7 @@
         Runtime, "ready", property(lambda self: not self.stopping.is_set())
     ),
     "takes every conflict for its own change": lambda: patch.object(
-        ChangeLog, "is_mine", lambda self, change: True
+        ChangeLog, "is_own", lambda self, change: True
     ),
     "waits for a push without a deadline": lambda: patch.object(
         DetachedRun, "read", without_deadline
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -23,7 +23,7 @@
 @given("a clock of a machine")
 def clock(context):
     context.suspended = 0.0
-    context.clock = SystemClock(boot=lambda: time.monotonic() + context.suspended)
+    context.clock = SystemClock(boottime=lambda: time.monotonic() + context.suspended)
     context.before = context.clock.now()
     context.done = Event()
 
--- a/packages/core/src/mountladder/accounts/ledger.py
+++ b/packages/core/src/mountladder/accounts/ledger.py
@@ -17,7 +17,7 @@
 
 COST_PREFIX = "cost/"
 MS_PER_SECOND = 1000.0
-PAGE = 200
+PAGE_ROWS = 200
 
 
 class Ledger:
@@ -63,16 +63,16 @@
     """Return totals as the value of a row."""
     entries = [
         [
-            one.team,
-            one.pipeline,
-            one.stage,
-            one.accelerator,
-            one.use,
-            sum_.calls,
-            sum_.ms,
-            sum_.cost,
+            charge.team,
+            charge.pipeline,
+            charge.stage,
+            charge.accelerator,
+            charge.use,
+            amount.calls,
+            amount.ms,
+            amount.cost,
         ]
-        for one, sum_ in totals.items()
+        for charge, amount in totals.items()
     ]
     return json.dumps(entries, separators=(",", ":")).encode()
 
@@ -101,7 +101,7 @@
     """
     totals: dict[Charge, Amount] = {}
     after = ""
-    while rows := table.scan(COST_PREFIX, after, PAGE):
+    while rows := table.scan(COST_PREFIX, after, PAGE_ROWS):
         for row in rows:
             for charge, amount in decode_totals(row.value).items():
                 totals[charge] = totals.get(charge, Amount()).plus(amount)
--- a/packages/core/src/mountladder/clocks/systemclock.py
+++ b/packages/core/src/mountladder/clocks/systemclock.py
@@ -18,7 +18,7 @@
 
 # The two clocks are read one after the other, so their difference varies slightly; a suspension
 # takes far longer than this.
-LEAST_SUSPENSION_MS = 50.0
+MIN_SUSPENSION_MS = 50.0
 
 
 class SystemClock(Clock):
@@ -30,33 +30,33 @@
     is detected: when the time is next read, as with every message, request and heartbeat.
 
     Args:
-        boot: Returns the seconds since the machine started, including suspensions; None for the
+        boottime: Returns the seconds since the machine started, including suspensions; None for the
             machine's clock.
-        steady: Returns the same without suspensions.
+        monotonic: Returns the same without suspensions.
     """
 
     def __init__(
         self,
-        boot: Callable[[], float] | None = None,
-        steady: Callable[[], float] = time.monotonic,
+        boottime: Callable[[], float] | None = None,
+        monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.boot = boot or partial(time.clock_gettime, time.CLOCK_BOOTTIME)
-        self.steady = steady
-        self.suspended_ms = self.read_suspended(self.boot() * MS_PER_SECOND)
+        self.boottime = boottime or partial(time.clock_gettime, time.CLOCK_BOOTTIME)
+        self.monotonic = monotonic
+        self.suspended_ms = self.read_suspended(self.boottime() * MS_PER_SECOND)
         self.timers: set[Timer] = set()
 
     def now(self) -> float:
         """Return the milliseconds since the machine started, including suspensions."""
-        now = self.boot() * MS_PER_SECOND
+        now = self.boottime() * MS_PER_SECOND
         suspended_ms = self.read_suspended(now)
-        if suspended_ms - self.suspended_ms > LEAST_SUSPENSION_MS:
+        if suspended_ms - self.suspended_ms > MIN_SUSPENSION_MS:
             self.suspended_ms = suspended_ms
-            self.arm_again(now)
+            self.rearm_timers(now)
         return now
 
     def read_suspended(self, now: float) -> float:
         """Return how long the machine was suspended in total, in milliseconds."""
-        return now - self.steady() * MS_PER_SECOND
+        return now - self.monotonic() * MS_PER_SECOND
 
     def wall(self) -> float:
         """Return the milliseconds since the Unix epoch."""
@@ -69,7 +69,7 @@
         timer.arm(delay_ms)
         return timer.cancel
 
-    def arm_again(self, now: float) -> None:
+    def rearm_timers(self, now: float) -> None:
         """Restart all timers with the time remaining until they are due."""
         for timer in list(self.timers):
             timer.arm(max(0.0, timer.due - now))
--- a/packages/core/src/mountladder/clocks/virtualclock.py
+++ b/packages/core/src/mountladder/clocks/virtualclock.py
@@ -55,11 +55,11 @@
     def advance(self) -> bool:
         """Fire the next timer; return whether there was one."""
         while self.timers:
-            when, number, function = heapq.heappop(self.timers)
+            due, number, function = heapq.heappop(self.timers)
             if number in self.cancelled:
                 self.cancelled.discard(number)
                 continue
-            self.time = max(self.time, when)
+            self.time = max(self.time, due)
             function()
             return True
         return False
--- a/packages/core/src/mountladder/configuration/backendserver.py
+++ b/packages/core/src/mountladder/configuration/backendserver.py
@@ -12,7 +12,7 @@
 from mountladder.configuration.document import Document
 from mountladder.configuration.fields import Fields
 
-KINDS = ("engine", "service")
+SERVER_KINDS = ("engine", "service")
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,12 +46,12 @@
         return cls(
             name=fields.text("name"),
             labels=fields.labels("labels"),
-            serves=fields.choice("serves", KINDS, "engine"),
+            serves=fields.choice("serves", SERVER_KINDS, "engine"),
             address=fields.text("address"),
             datacentre=fields.text("datacentre"),
             accelerator=fields.text("accelerator", ""),
             price=fields.number("price", 1.0),
-            slots=int(fields.number("slots", 8, least=1)),
+            slots=int(fields.number("slots", 8, min_value=1)),
             draining=fields.flag("draining", False),
             models=fields.texts("models"),
         )
--- a/packages/core/src/mountladder/configuration/changelog.py
+++ b/packages/core/src/mountladder/configuration/changelog.py
@@ -32,12 +32,12 @@
 CHANGE_PREFIX = "config/change/"
 SNAPSHOT_KEY = "config/snapshot"
 # A snapshot is written every so many revisions.
-SNAPSHOT_EVERY = 32
+REVISIONS_PER_SNAPSHOT = 32
 # Max. number of changes read at once.
-PAGE = 100
+PAGE_ROWS = 100
 # A commit with an unknown outcome is retried this often, after a pause that doubles each time.
-SETTLE_TRIES = 6
-SETTLE_PAUSE_MS = 200.0
+COMMIT_ATTEMPTS = 6
+COMMIT_RETRY_MS = 200.0
 
 
 class ChangeLog:
@@ -61,7 +61,7 @@
             return 0, ABSENT
         return _revision(row), row.version
 
-    def since(self, revision: int, limit: int = PAGE) -> list[Change]:
+    def since(self, revision: int, limit: int = PAGE_ROWS) -> list[Change]:
         """Return up to `limit` changes after a revision, oldest first."""
         after = _change_key(revision)
         changes = [Change.decode(row.value) for row in self.table.scan(CHANGE_PREFIX, after, limit)]
@@ -74,7 +74,7 @@
         """Return the newest configuration, built from a known one, a snapshot and later changes."""
         configuration = known or Configuration()
         newest, _ = self.head()
-        if newest - configuration.revision > SNAPSHOT_EVERY:
+        if newest - configuration.revision > REVISIONS_PER_SNAPSHOT:
             configuration = self.snapshot(configuration)
         while configuration.revision < newest:
             changes = self.since(configuration.revision)
@@ -117,15 +117,15 @@
         change = Change(
             base.revision + 1, operation, author, self.clock.wall(), tuple(puts), tuple(deletes)
         )
-        made = base.after(change)
+        result = base.after(change)
         revision, version = self.head()
-        if revision != base.revision and not self.is_mine(change):
+        if revision != base.revision and not self.is_own(change):
             raise RevisionConflictError(base.revision, revision)
         if revision == base.revision:
             self.accept(change, version)
-        if made.revision % SNAPSHOT_EVERY == 0:
-            self.try_snapshot(made)
-        return made
+        if result.revision % REVISIONS_PER_SNAPSHOT == 0:
+            self.try_snapshot(result)
+        return result
 
     def accept(self, change: Change, head_version: int) -> None:
         """Write a change, and retry while it is not known whether it took effect."""
@@ -134,21 +134,21 @@
             Write(HEAD_KEY, head, head_version),
             Write(_change_key(change.revision), change.encode(), ABSENT),
         )
-        for attempt in range(SETTLE_TRIES):
+        for attempt in range(COMMIT_ATTEMPTS):
             try:
                 self.table.commit(writes)
                 return
             except StoreAmbiguousError:
-                self.clock.sleep(SETTLE_PAUSE_MS * 2**attempt)
+                self.clock.sleep(COMMIT_RETRY_MS * 2**attempt)
             except ConditionFailedError as error:
-                if self.is_mine(change):
+                if self.is_own(change):
                     return
                 raise RevisionConflictError(change.revision - 1, self.head()[0]) from error
         raise StoreAmbiguousError(
             f"change {change.operation} based on revision {change.revision - 1}: outcome unknown"
         )
 
-    def is_mine(self, change: Change) -> bool:
+    def is_own(self, change: Change) -> bool:
         """Return whether the change accepted at this revision has the same operation id."""
         row = self.table.read(_change_key(change.revision))
         return row is not None and Change.decode(row.value).operation == change.operation
--- a/packages/core/src/mountladder/configuration/check.py
+++ b/packages/core/src/mountladder/configuration/check.py
@@ -33,43 +33,43 @@
     return [
         warning
         for one in configuration.of_kind("pipeline")
-        for warning in _unmet(configuration, one)
+        for warning in _unmatched_selectors(configuration, one)
     ]
 
 
-def _missing(place: str, kind: str, name: str) -> DocumentError:
-    return DocumentError(f"{place}: there is no {kind} {name!r}", Code.UNKNOWN_REFERENCE)
+def _missing(location: str, kind: str, name: str) -> DocumentError:
+    return DocumentError(f"{location}: there is no {kind} {name!r}", Code.UNKNOWN_REFERENCE)
 
 
 def _reference_faults(configuration: Configuration, pipeline: Pipeline):
     for stage in pipeline.stages:
-        place = f"pipeline {pipeline.name}: stage {stage.name}"
+        location = f"pipeline {pipeline.name}: stage {stage.name}"
         if stage.model and f"model/{stage.model}" not in configuration.documents:
-            yield _missing(place, "model", stage.model)
+            yield _missing(location, "model", stage.model)
         if not stage.model and stage.work != "call":
-            yield DocumentError(f"{place}: model: expected a model for this work, found none")
-        yield from _text_faults(configuration, place, stage.selector)
+            yield DocumentError(f"{location}: model: expected a model for this work, found none")
+        yield from _text_faults(configuration, location, stage.selector)
 
 
 def _selector_faults(configuration: Configuration):
     for document in configuration.documents.values():
-        place = f"{document.kind} {document.name}"
+        location = f"{document.kind} {document.name}"
         if document.kind == "selector":
-            yield from _parse_faults(place, document.match)
+            yield from _parse_faults(location, document.match)
         elif document.kind in {"model", "team"}:
-            yield from _text_faults(configuration, place, document.selector)
+            yield from _text_faults(configuration, location, document.selector)
 
 
-def _text_faults(configuration: Configuration, place: str, text: str):
+def _text_faults(configuration: Configuration, location: str, text: str):
     if f"selector/{text}" not in configuration.documents:
-        yield from _parse_faults(place, text)
+        yield from _parse_faults(location, text)
 
 
-def _parse_faults(place: str, text: str):
+def _parse_faults(location: str, text: str):
     try:
         Selector.parse(text)
     except MountladderError as error:
-        yield DocumentError(f"{place}: selector: {error.detail}", Code.BAD_SELECTOR)
+        yield DocumentError(f"{location}: selector: {error.detail}", Code.BAD_SELECTOR)
 
 
 def _token_faults(configuration: Configuration):
@@ -80,7 +80,7 @@
             yield DocumentError(f"team {team.name}: token_sha256: team {other} has the same")
 
 
-def _unmet(configuration: Configuration, pipeline: Pipeline):
+def _unmatched_selectors(configuration: Configuration, pipeline: Pipeline):
     for team in configuration.of_kind("team"):
         for stage in pipeline.stages:
             if not configuration.servers_for(stage, team):
--- a/packages/core/src/mountladder/configuration/documents.py
+++ b/packages/core/src/mountladder/configuration/documents.py
@@ -49,7 +49,7 @@
             continue
         for number, entry in enumerate(entries, 1):
             documents.append(_read(kind, entry, f"{source}: {kind} {number}", faults))
-    faults.extend(_doubled(documents, source))
+    faults.extend(_duplicates(documents, source))
     if faults:
         raise ExceptionGroup(f"{source}: {len(faults)} errors", faults)
     return tuple(documents)
@@ -70,9 +70,11 @@
     return document
 
 
-def _read(kind: str, table: object, place: str, faults: list[MountladderError]) -> Document:
+def _read(kind: str, table: object, location: str, faults: list[MountladderError]) -> Document:
     name = table.get("name") if isinstance(table, Mapping) else None
-    fields = Fields(table, f"{place} ({name})" if isinstance(name, str) else place, DocumentError)
+    fields = Fields(
+        table, f"{location} ({name})" if isinstance(name, str) else location, DocumentError
+    )
     document = KINDS[kind].read(fields)
     if document.name and not _NAME.fullmatch(document.name):
         fields.fault("name", "letters, digits, dots and hyphens", document.name)
@@ -80,7 +82,7 @@
     return document
 
 
-def _doubled(documents: list[Document], source: str) -> list[MountladderError]:
+def _duplicates(documents: list[Document], source: str) -> list[MountladderError]:
     seen: set[str] = set()
     faults: list[MountladderError] = []
     for document in documents:
--- a/packages/core/src/mountladder/configuration/fields.py
+++ b/packages/core/src/mountladder/configuration/fields.py
@@ -12,7 +12,7 @@
 from mountladder.errors import MountladderError
 
 # The largest integer that the messages between instances can hold.
-MOST_WHOLE = 2**63 - 1
+MAX_INTEGER = 2**63 - 1
 _REQUIRED = object()
 
 
@@ -21,15 +21,15 @@
 
     Args:
         table: The table as parsed by the TOML or JSON library.
-        place: The location of the table for error messages, such as a file and a key.
+        location: The location of the table for error messages, such as a file and a key.
         error: The class of the errors.
     """
 
-    def __init__(self, table: object, place: str, error: type[MountladderError]) -> None:
-        self.place = place
+    def __init__(self, table: object, location: str, error: type[MountladderError]) -> None:
+        self.location = location
         self.error = error
         self.faults: list[MountladderError] = []
-        self.read: set[str] = set()
+        self.read_keys: set[str] = set()
         self.table: Mapping[str, object] = {}
         if isinstance(table, Mapping):
             self.table = table
@@ -38,12 +38,12 @@
 
     def fault(self, key: str, expected: str, found: object) -> None:
         """Record an error with the key, the expected and the actual value."""
-        where = f"{self.place}: {key}" if key else self.place
+        where = f"{self.location}: {key}" if key else self.location
         self.faults.append(self.error(f"{where}: expected {expected}, found {found!r}"))
 
-    def take(self, key: str, kind: type, expected: str, default: object) -> object:
+    def typed_value(self, key: str, kind: type, expected: str, default: object) -> object:
         """Return a key's value, or its default; record an error if it has the wrong type."""
-        self.read.add(key)
+        self.read_keys.add(key)
         value = self.table.get(key, default)
         if value is _REQUIRED:
             self.fault(key, expected, None)
@@ -55,46 +55,50 @@
 
     def text(self, key: str, default: object = _REQUIRED) -> str:
         """Return a string; without a default, an empty string is an error."""
-        value = self.take(key, str, "a string", default)
+        value = self.typed_value(key, str, "a string", default)
         if value == "" and default is _REQUIRED and isinstance(self.table.get(key), str):
             self.fault(key, "a string that is not empty", value)
         return str(value)
 
     def flag(self, key: str, default: bool) -> bool:
         """Return a boolean."""
-        return bool(self.take(key, bool, "true or false", default))
+        return bool(self.typed_value(key, bool, "true or false", default))
 
-    def number(self, key: str, default: object = _REQUIRED, least: float = 0.0) -> float:
+    def number(self, key: str, default: object = _REQUIRED, min_value: float = 0.0) -> float:
         """Return a finite number that is not below a minimum."""
-        self.read.add(key)
+        self.read_keys.add(key)
         value = self.table.get(key, default)
-        good = isinstance(value, (int, float)) and not isinstance(value, bool)
+        is_valid = isinstance(value, (int, float)) and not isinstance(value, bool)
         # An integer may be too large for a float.
-        if not good or not least <= value <= sys.float_info.max:
+        if not is_valid or not min_value <= value <= sys.float_info.max:
             self.fault(
-                key, f"a number of at least {least:g}", None if value is _REQUIRED else value
+                key, f"a number of at least {min_value:g}", None if value is _REQUIRED else value
             )
-            return least
+            return min_value
         return float(value)
 
-    def whole(
-        self, key: str, default: object = _REQUIRED, least: int = 0, most: int = MOST_WHOLE
+    def integer(
+        self,
+        key: str,
+        default: object = _REQUIRED,
+        min_value: int = 0,
+        max_value: int = MAX_INTEGER,
     ) -> int:
         """Return an integer within limits; the limits do not apply to the default."""
-        self.read.add(key)
+        self.read_keys.add(key)
         value = self.table.get(key, default)
         if key not in self.table and default is not _REQUIRED:
             return default
-        good = isinstance(value, int) and not isinstance(value, bool)
-        if not good or not least <= value <= most:
-            expected = f"an integer from {least} to {most}"
+        is_valid = isinstance(value, int) and not isinstance(value, bool)
+        if not is_valid or not min_value <= value <= max_value:
+            expected = f"an integer from {min_value} to {max_value}"
             self.fault(key, expected, None if value is _REQUIRED else value)
-            return least
+            return min_value
         return value
 
     def texts(self, key: str, default: object = ()) -> tuple[str, ...]:
         """Return a list of strings."""
-        self.read.add(key)
+        self.read_keys.add(key)
         value = self.table.get(key, default)
         if not isinstance(value, (list, tuple)) or not all(isinstance(one, str) for one in value):
             self.fault(key, "a list of strings", value)
@@ -103,18 +107,20 @@
 
     def numbers(self, key: str) -> tuple[float, ...]:
         """Return a list of finite, non-negative numbers."""
-        self.read.add(key)
+        self.read_keys.add(key)
         value = self.table.get(key, ())
         listed = value if isinstance(value, (list, tuple)) else (None,)
-        good = all(isinstance(one, (int, float)) and not isinstance(one, bool) for one in listed)
-        if not good or not all(0 <= one <= sys.float_info.max for one in listed):
+        is_valid = all(
+            isinstance(one, (int, float)) and not isinstance(one, bool) for one in listed
+        )
+        if not is_valid or not all(0 <= one <= sys.float_info.max for one in listed):
             self.fault(key, "a list of numbers", value)
             return ()
         return tuple(float(one) for one in listed)
 
     def labels(self, key: str) -> dict[str, str]:
         """Return a table of labels."""
-        self.read.add(key)
+        self.read_keys.add(key)
         value = self.table.get(key, {})
         if not isinstance(value, Mapping) or not all(
             isinstance(name, str) and isinstance(one, str) for name, one in value.items()
@@ -134,6 +140,6 @@
     def finish(self) -> list[MountladderError]:
         """Record an error for each key that was not read, and return all errors."""
         for key in self.table:
-            if key not in self.read:
+            if key not in self.read_keys:
                 self.fault(str(key), "no such key", self.table[key])
         return self.faults
--- a/packages/core/src/mountladder/configuration/follower.py
+++ b/packages/core/src/mountladder/configuration/follower.py
@@ -15,7 +15,7 @@
 from mountladder.errors import BadRowError, StoreUnavailableError
 
 # Max. number of changes held for peers.
-KEPT_CHANGES = 512
+MAX_CHANGES = 512
 
 
 class Follower:
@@ -86,7 +86,7 @@
         if not adopted:
             return False
         self.configuration = configuration
-        self.changes = (self.changes + adopted)[-KEPT_CHANGES:]
+        self.changes = (self.changes + adopted)[-MAX_CHANGES:]
         for listener in self.listeners:
             listener(adopted)
         return True
--- a/packages/core/src/mountladder/configuration/pipeline.py
+++ b/packages/core/src/mountladder/configuration/pipeline.py
@@ -15,7 +15,7 @@
 from mountladder.configuration.stage import Stage
 
 DEFAULT_DEADLINE_MS = 5_000.0
-MOST_STAGES = 16
+MAX_STAGES = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
         return cls(
             name=fields.text("name"),
             labels=fields.labels("labels"),
-            deadline_ms=fields.number("deadline_ms", DEFAULT_DEADLINE_MS, least=1),
+            deadline_ms=fields.number("deadline_ms", DEFAULT_DEADLINE_MS, min_value=1),
             stages=_stages(fields),
             urgency=int(fields.number("urgency", 1)),
         )
@@ -61,9 +61,9 @@
 
 
 def _stages(fields: Fields) -> tuple[Stage, ...]:
-    tables = fields.take("stage", list, "a list of tables", [])
-    if not 1 <= len(tables) <= MOST_STAGES:
-        fields.fault("stage", f"1 to {MOST_STAGES} stages", len(tables))
+    tables = fields.typed_value("stage", list, "a list of tables", [])
+    if not 1 <= len(tables) <= MAX_STAGES:
+        fields.fault("stage", f"1 to {MAX_STAGES} stages", len(tables))
     stages: list[Stage] = []
     for table in tables:
         stages.append(_stage(fields, table, stages))
@@ -74,8 +74,8 @@
 
 
 def _stage(fields: Fields, table: Mapping[str, object], earlier: list[Stage]) -> Stage:
-    place = f"{fields.place}: stage {len(earlier) + 1}"
-    inner = Fields(table, place, fields.error)
+    location = f"{fields.location}: stage {len(earlier) + 1}"
+    inner = Fields(table, location, fields.error)
     stage = Stage.read(inner, tuple(one.name for one in earlier[-1:]))
     names = {one.name for one in earlier}
     if stage.name in names:
--- a/packages/core/src/mountladder/configuration/requirement.py
+++ b/packages/core/src/mountladder/configuration/requirement.py
@@ -16,7 +16,7 @@
 
     Attributes:
         label: The label's name.
-        values: The allowed values; if empty, any value is allowed.
+        values: The allowed values; if empty, the label must exist with any value.
         negated: Whether the requirement is negated. A missing label meets a negated one.
     """
 
--- a/packages/core/src/mountladder/configuration/settings.py
+++ b/packages/core/src/mountladder/configuration/settings.py
@@ -13,7 +13,7 @@
 from mountladder.configuration.fields import Fields
 from mountladder.configuration.settingsfile import check_fields, settings_fields, settings_text
 
-LEAST_SECRET = 16
+MIN_SECRET_LENGTH = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,19 +105,19 @@
         platform=fields.text("platform"),
         secret=fields.text("secret"),
         seeds=fields.texts("seeds"),
-        heartbeat_ms=fields.number("heartbeat_ms", 1_000.0, least=10),
-        poll_ms=fields.number("poll_ms", 500.0, least=10),
+        heartbeat_ms=fields.number("heartbeat_ms", 1_000.0, min_value=10),
+        poll_ms=fields.number("poll_ms", 500.0, min_value=10),
         statsd=fields.text("statsd", ""),
-        most_running=int(fields.number("most_running", 128, least=1)),
+        most_running=int(fields.number("most_running", 128, min_value=1)),
         most_waiting=int(fields.number("most_waiting", 256)),
-        most_body_bytes=int(fields.number("most_body_bytes", 1_048_576, least=1)),
+        most_body_bytes=int(fields.number("most_body_bytes", 1_048_576, min_value=1)),
         shutdown_ms=fields.number("shutdown_ms", 10_000.0),
         window_ms=fields.number("window_ms", 5.0),
-        most_transactions=fields.number("most_transactions", 300.0, least=1),
-        keep_ms=fields.number("keep_ms", 86_400_000.0, least=1_000),
-        cost_ms=fields.number("cost_ms", 10_000.0, least=100),
+        most_transactions=fields.number("most_transactions", 300.0, min_value=1),
+        keep_ms=fields.number("keep_ms", 86_400_000.0, min_value=1_000),
+        cost_ms=fields.number("cost_ms", 10_000.0, min_value=100),
         thrift=fields.number("thrift", 0.0),
-        drawn=int(fields.number("drawn", 8, least=1)),
+        drawn=int(fields.number("drawn", 8, min_value=1)),
         spill_ms=fields.number("spill_ms", 2.0),
         orders_ms=fields.number("orders_ms", 2_000.0),
         operator_token=fields.text("operator_token", ""),
@@ -136,8 +136,8 @@
             fields.fault("seeds", "IP numbers and ports", seed)
     if settings.platform and not settings.platform.startswith(("http://", "https://")):
         fields.fault("platform", "an http or https URL", settings.platform)
-    if 0 < len(settings.secret) < LEAST_SECRET:
-        fields.fault("secret", f"at least {LEAST_SECRET} characters", "a shorter one")
+    if 0 < len(settings.secret) < MIN_SECRET_LENGTH:
+        fields.fault("secret", f"at least {MIN_SECRET_LENGTH} characters", "a shorter one")
     if settings.thrift > 1:
         fields.fault("thrift", "a number from 0 to 1", settings.thrift)
 
--- a/packages/core/src/mountladder/configuration/stage.py
+++ b/packages/core/src/mountladder/configuration/stage.py
@@ -10,7 +10,7 @@
 
 from mountladder.configuration.fields import Fields
 
-WORKS = ("encode", "retrieve", "rerank", "generate", "call")
+WORK_KINDS = ("encode", "retrieve", "rerank", "generate", "call")
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
         """Parse a stage from its table; without "after" it depends on the previous stage."""
         return cls(
             name=fields.text("name"),
-            work=fields.choice("work", WORKS),
+            work=fields.choice("work", WORK_KINDS),
             model=fields.text("model", ""),
             selector=fields.text("selector", ""),
             after=fields.texts("after", previous),
--- a/packages/core/src/mountladder/configuration/team.py
+++ b/packages/core/src/mountladder/configuration/team.py
@@ -40,7 +40,7 @@
             name=fields.text("name"),
             labels=fields.labels("labels"),
             token_sha256=fields.text("token_sha256"),
-            share=fields.number("share", 1.0, least=0.001),
+            share=fields.number("share", 1.0, min_value=0.001),
             most_running=int(fields.number("most_running", 0)),
             selector=fields.text("selector", ""),
         )
--- a/packages/core/src/mountladder/errors.py
+++ b/packages/core/src/mountladder/errors.py
@@ -32,7 +32,7 @@
         result: The result class for the caller; the code's class unless less is known.
     """
 
-    default = Code.INTERNAL
+    default_code = Code.INTERNAL
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         stage: str = "",
         retry_after_ms: float | None = None,
     ) -> None:
-        self.code = code or self.default
+        self.code = code or self.default_code
         self.result = self.code.result
         self.detail = detail or self.code.meaning
         self.stage = stage
@@ -56,47 +56,47 @@
 class SettingsError(MountladderError):
     """One error in the settings of a process."""
 
-    default = Code.BAD_SETTINGS
+    default_code = Code.BAD_SETTINGS
 
 
 class DocumentError(MountladderError):
     """One error in a document of the operators' configuration."""
 
-    default = Code.BAD_DOCUMENT
+    default_code = Code.BAD_DOCUMENT
 
 
 class SelectorError(MountladderError):
     """A selector cannot be parsed."""
 
-    default = Code.BAD_SELECTOR
+    default_code = Code.BAD_SELECTOR
 
 
 class RevisionConflictError(MountladderError):
     """Another change of the configuration was accepted first.
 
     Attributes:
-        stated: The revision that the change was based on.
-        found: The revision in force.
+        base_revision: The revision that the change was based on.
+        current_revision: The revision in force.
     """
 
-    default = Code.REVISION_CONFLICT
+    default_code = Code.REVISION_CONFLICT
 
-    def __init__(self, stated: int, found: int) -> None:
-        self.stated = stated
-        self.found = found
-        super().__init__(f"based on revision {stated}, but {found} is in force")
+    def __init__(self, base_revision: int, current_revision: int) -> None:
+        self.base_revision = base_revision
+        self.current_revision = current_revision
+        super().__init__(f"based on revision {base_revision}, but {current_revision} is in force")
 
 
 class StoreUnavailableError(MountladderError):
     """The store cannot be reached, and nothing was written."""
 
-    default = Code.STORE_UNAVAILABLE
+    default_code = Code.STORE_UNAVAILABLE
 
 
 class StoreAmbiguousError(MountladderError):
     """A write to the store may or may not have taken effect."""
 
-    default = Code.STORE_AMBIGUOUS
+    default_code = Code.STORE_AMBIGUOUS
 
 
 class ConditionFailedError(MountladderError):
@@ -106,7 +106,7 @@
         keys: The keys whose conditions did not hold.
     """
 
-    default = Code.CONDITION_FAILED
+    default_code = Code.CONDITION_FAILED
 
     def __init__(self, keys: tuple[str, ...]) -> None:
         self.keys = keys
@@ -120,7 +120,7 @@
         after: The position.
     """
 
-    default = Code.HISTORY_LOST
+    default_code = Code.HISTORY_LOST
 
     def __init__(self, after: Position) -> None:
         self.after = after
@@ -130,7 +130,7 @@
 class BadRowError(MountladderError):
     """A row of the store cannot be parsed."""
 
-    default = Code.BAD_ROW
+    default_code = Code.BAD_ROW
 
 
 class StageError(MountladderError):
@@ -140,7 +140,7 @@
         dispatched: Whether the backend server may have begun to run it.
     """
 
-    default = Code.STAGE_FAILED
+    default_code = Code.STAGE_FAILED
 
     def __init__(self, detail: str = "", code: Code | None = None, dispatched: bool = True) -> None:
         self.dispatched = dispatched
@@ -150,28 +150,28 @@
 class RefusalError(MountladderError):
     """A request was refused before any stage ran."""
 
-    default = Code.OVERLOADED
+    default_code = Code.OVERLOADED
 
 
 class RunError(MountladderError):
     """A request ran but did not complete."""
 
-    default = Code.STAGE_FAILED
+    default_code = Code.STAGE_FAILED
 
 
 class PeerError(MountladderError):
     """A peer cannot be reached, or sent an invalid message."""
 
-    default = Code.PEER_UNREACHABLE
+    default_code = Code.PEER_UNREACHABLE
 
 
 class LeaseLostError(MountladderError):
     """A lease is held by another instance."""
 
-    default = Code.LEASE_LOST
+    default_code = Code.LEASE_LOST
 
 
 class OrderFencedError(MountladderError):
     """An engine rejected an order with an outdated fencing number."""
 
-    default = Code.ORDER_FENCED
+    default_code = Code.ORDER_FENCED
--- a/packages/core/src/mountladder/metrics/prometheusmetrics.py
+++ b/packages/core/src/mountladder/metrics/prometheusmetrics.py
@@ -58,10 +58,10 @@
 
     def timing(self, metric: Metric, value_ms: float, suffix: str = "") -> None:
         """Record a duration in milliseconds."""
-        found = self.timings[metric].get(suffix)
-        if found is None:
-            found = self.timings[metric][suffix] = [0] * (len(BUCKETS_MS) + 1)
-        found[bisect_left(BUCKETS_MS, value_ms)] += 1
+        counts = self.timings[metric].get(suffix)
+        if counts is None:
+            counts = self.timings[metric][suffix] = [0] * (len(BUCKETS_MS) + 1)
+        counts[bisect_left(BUCKETS_MS, value_ms)] += 1
         self.sums[metric][suffix] += value_ms
 
     def gauge(self, metric: Metric, value: float) -> None:
--- a/packages/core/src/mountladder/requests/attempts.py
+++ b/packages/core/src/mountladder/requests/attempts.py
@@ -17,28 +17,28 @@
 from mountladder.metrics.metric import Metric
 from mountladder.requests.attempt import Attempt
 from mountladder.requests.request import Request
+from mountladder.requests.retrystate import RetryState
 from mountladder.requests.runcontext import RunContext
 from mountladder.requests.stagecall import StageCall
 from mountladder.requests.stageplan import stage_budget
 from mountladder.requests.trace import Trace
-from mountladder.requests.tries import Tries
 from mountladder.routing.choice import Choice
 from mountladder.routing.stagetiming import StageTiming
 
 # Max. number of attempts at one stage.
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 # Mean pause before the first retry; it doubles with each retry and is jittered by half.
 BACKOFF_MS = 20.0
 # How much of a request's input is hashed to route equal prompt prefixes to the same engine.
 PREFIX_BYTES = 256
-# The first attempt times out after this multiple of its expected time; see patience().
-PATIENCE = 4.0
+# The first attempt times out after this multiple of its expected time; see timeout_ms().
+TIMEOUT_FACTOR = 4.0
 # Min. timeout of an attempt, and the longest gap between tokens of a stream.
-STALL_MS = 1_000.0
+STALL_TIMEOUT_MS = 1_000.0
 # How long a stage that must not be repeated may run past the deadline.
 GRACE_MS = 30_000.0
 # A stage is not started if it is expected to take more than this multiple of the remaining time.
-GIVE_UP = 1.15
+GIVE_UP_FACTOR = 1.15
 
 
 class Attempts:
@@ -53,7 +53,7 @@
         dispatched: Whether any stage may have begun to run at a backend server.
         unrepeatable: The stages that may have run and must not be repeated.
         timings: The server and duration of each finished stage.
-        case: The request as tracked by the quarantine.
+        tracked: The request as tracked by the quarantine.
     """
 
     def __init__(self, request: Request, trace: Trace, context: RunContext) -> None:
@@ -64,10 +64,10 @@
         self.unrepeatable: set[str] = set()
         self.timings: list[StageTiming] = []
         texts = (request.team.name, request.pipeline.name)
-        self.case = context.quarantine.track(request.id, texts, request.input)
+        self.tracked = context.quarantine.track(request.id, texts, request.input)
 
     @contextmanager
-    def watched(self, attempt: Attempt, tries: Tries) -> Iterator[None]:
+    def record_failures(self, attempt: Attempt, retry_state: RetryState) -> Iterator[None]:
         """Record an attempt that fails or is cancelled in this block; pass if it may be retried.
 
         Raises:
@@ -76,122 +76,132 @@
         try:
             yield
         except StageError as error:
-            self.fail(attempt, tries, error)
+            self.record_failure(attempt, retry_state, error)
         except BaseException:
-            self.abandon(attempt)
+            self.record_cancelled(attempt)
             raise
 
-    def begin(self, tries: Tries, left: Sequence[Stage]) -> Attempt:
+    def start(self, retry_state: RetryState, remaining_stages: Sequence[Stage]) -> Attempt:
         """Choose a server by the newest known configuration and build the call.
 
         Args:
-            tries: The attempts at the stage so far.
-            left: The stages not yet run, this one included.
+            retry_state: The attempts at the stage so far.
+            remaining_stages: The stages not yet run, this one included.
 
         Raises:
             StageError: No time is left or no server is available; nothing was sent.
         """
         clock = self.context.clock
-        stage, body = tries.stage, tries.body
-        remaining = self.request.deadline - clock.now()
-        if remaining <= 0:
+        stage, body = retry_state.stage, retry_state.body
+        remaining_ms = self.request.deadline - clock.now()
+        if remaining_ms <= 0:
             raise StageError(
                 "the deadline passed before the stage was sent", Code.DEADLINE_PASSED, False
             )
-        self.case.of_stage(stage.name).admit(remaining)
-        remaining = self.request.deadline - clock.now()
+        self.tracked.of_stage(stage.name).admit(remaining_ms)
+        remaining_ms = self.request.deadline - clock.now()
         configuration = self.context.follower.configuration
-        budget = stage_budget(self.context.costs, self.request.pipeline, stage, left, remaining)
+        budget = stage_budget(
+            self.context.costs, self.request.pipeline, stage, remaining_stages, remaining_ms
+        )
         choice = self.context.router.pick(
             configuration.servers_for(stage, self.request.team),
             stage,
             len(body),
             budget,
-            tries.failed,
+            retry_state.failed,
             hash(self.request.input[:PREFIX_BYTES]) if stage.work == "generate" else None,
         )
-        self.give_up_early(choice, tries, remaining)
-        tries.count += 1
+        self.reject_late(choice, retry_state, remaining_ms)
+        retry_state.count += 1
         if not self.may_repeat(stage):
             self.unrepeatable.add(stage.name)
-        call = self.call(tries, choice.expected_ms, remaining)
+        call = self.make_call(retry_state, choice.expected_ms, remaining_ms)
         self.trace.add(
             "sent", stage.name, call.attempt, choice.state.server.name, 0, choice.reason()
         )
         return Attempt(choice, call, clock.now())
 
-    def give_up_early(self, choice: Choice, tries: Tries, remaining: float) -> None:
+    def reject_late(self, choice: Choice, retry_state: RetryState, remaining_ms: float) -> None:
         """Raise StageError if the chosen server is expected to miss the deadline by a wide margin.
 
         A stage that must not be repeated is sent all the same.
         """
-        if choice.expected_ms > GIVE_UP * remaining and self.may_repeat(tries.stage):
+        if choice.expected_ms > GIVE_UP_FACTOR * remaining_ms and self.may_repeat(
+            retry_state.stage
+        ):
             self.context.router.withdraw(choice)
             detail = f"it was expected to take {choice.expected_ms:.0f} ms"
             raise StageError(detail, Code.DEADLINE_PASSED, False)
 
-    def call(self, tries: Tries, expected_ms: float, remaining: float) -> StageCall:
+    def make_call(
+        self, retry_state: RetryState, expected_ms: float, remaining_ms: float
+    ) -> StageCall:
         """Return the call of the next attempt.
 
         An attempt that may be repeated times out early enough for another one. One that must not
         be repeated may run past the deadline, so that its outcome becomes known.
         """
-        stage = tries.stage
-        patience = self.patience(tries, expected_ms, remaining)
-        deadline = self.context.clock.now() + (remaining if stage.stream else patience)
+        stage = retry_state.stage
+        timeout_ms = self.timeout_ms(retry_state, expected_ms, remaining_ms)
+        deadline = self.context.clock.now() + (remaining_ms if stage.stream else timeout_ms)
         return StageCall(
             request=self.request.id,
-            attempt=f"{self.request.id}.{stage.name}.{tries.count}",
+            attempt=f"{self.request.id}.{stage.name}.{retry_state.count}",
             stage=stage,
-            body=tries.body,
+            body=retry_state.body,
             deadline=deadline,
             priority=self.request.pipeline.urgency,
-            tokens_held=tries.tokens,
-            first_ms=patience,
-            stall_ms=STALL_MS,
+            tokens_held=retry_state.tokens,
+            first_token_timeout_ms=timeout_ms,
+            stall_timeout_ms=STALL_TIMEOUT_MS,
         )
 
-    def patience(self, tries: Tries, expected_ms: float, remaining: float) -> float:
+    def timeout_ms(self, retry_state: RetryState, expected_ms: float, remaining_ms: float) -> float:
         """Return the timeout of an attempt, or of its first token if it streams.
 
         It doubles with each attempt, in case the expected time was too low. An attempt after which
         no time for another would remain may use all the time that is left.
         """
-        if not self.may_repeat(tries.stage):
-            return remaining + GRACE_MS
-        patience = max(PATIENCE * expected_ms, STALL_MS) * 2 ** (tries.count - 1)
-        return remaining if remaining - patience < expected_ms else patience
+        if not self.may_repeat(retry_state.stage):
+            return remaining_ms + GRACE_MS
+        timeout_ms = max(TIMEOUT_FACTOR * expected_ms, STALL_TIMEOUT_MS) * 2 ** (
+            retry_state.count - 1
+        )
+        return remaining_ms if remaining_ms - timeout_ms < expected_ms else timeout_ms
 
     def may_repeat(self, stage: Stage) -> bool:
         """Return whether a stage may be run again after it may have run."""
         return stage.idempotent and self.request.idempotent
 
-    def succeed(self, attempt: Attempt, tries: Tries, load: int | None) -> None:
+    def record_success(self, attempt: Attempt, retry_state: RetryState, load: int | None) -> None:
         """Record an attempt that returned its complete result."""
         self.mark_dispatched()
-        stage = tries.stage
-        elapsed = self.elapsed(attempt)
-        self.context.router.succeeded(attempt.choice, stage, len(tries.body), elapsed, load)
-        whole = self.context.clock.now() - tries.started
-        self.context.costs.record_whole(self.request.pipeline.name, stage, whole)
+        stage = retry_state.stage
+        elapsed_ms = self.elapsed_ms(attempt)
+        self.context.router.succeeded(
+            attempt.choice, stage, len(retry_state.body), elapsed_ms, load
+        )
+        total_ms = self.context.clock.now() - retry_state.started
+        self.context.costs.record_whole(self.request.pipeline.name, stage, total_ms)
         self.context.budgets[self.budget_name(stage)].earn()
         late = self.context.clock.now() > self.request.deadline
         cost = self.charge(attempt, "late" if late else "useful")
         server = attempt.choice.state.server.name
         self.timings.append(
-            StageTiming(stage.name, server, tries.count, round(elapsed, 1), round(cost, 6))
+            StageTiming(stage.name, server, retry_state.count, round(elapsed_ms, 1), round(cost, 6))
         )
-        self.context.metrics.timing(Metric.STAGE_MS, whole, stage.name)
+        self.context.metrics.timing(Metric.STAGE_MS, total_ms, stage.name)
         self.trace.add("answered", stage.name, attempt.call.attempt, server)
-        self.case.of_stage(stage.name).answered()
+        self.tracked.of_stage(stage.name).answered()
 
-    def fail(self, attempt: Attempt, tries: Tries, error: StageError) -> None:
+    def record_failure(self, attempt: Attempt, retry_state: RetryState, error: StageError) -> None:
         """Record a failed attempt and pause before a retry.
 
         Raises:
             RunError: It may not be retried.
         """
-        stage = tries.stage
+        stage = retry_state.stage
         if error.dispatched:
             self.mark_dispatched()
         else:
@@ -200,7 +210,7 @@
             error = StageError(error.detail, Code.DEADLINE_PASSED, error.dispatched)
         server = attempt.choice.state.server
         self.context.router.failed(
-            attempt.choice, error.code, self.elapsed(attempt), stage, len(tries.body)
+            attempt.choice, error.code, self.elapsed_ms(attempt), stage, len(retry_state.body)
         )
         self.charge(attempt, "late" if error.code is Code.DEADLINE_PASSED else "retried")
         self.trace.add(
@@ -208,28 +218,28 @@
         )
         if error.code in {Code.DEADLINE_PASSED, Code.STAGE_STALLED}:
             self.cancel(attempt)
-        self.case.of_stage(stage.name).failed(server, attempt.started, error)
-        self.check_repeat(stage, tries, error)
-        tries.failed |= {server.name}
+        self.tracked.of_stage(stage.name).failed(server, attempt.started, error)
+        self.check_retry(stage, retry_state, error)
+        retry_state.failed |= {server.name}
         self.context.metrics.count(Metric.RETRIED, error.code.name.lower())
-        if tries.tokens:
+        if retry_state.tokens:
             self.context.metrics.count(Metric.RESUMED)
-        pause = BACKOFF_MS * 2 ** (tries.count - 1) * self.context.rng.uniform(0.5, 1.5)
-        self.context.clock.sleep(min(pause, max(0.0, self.request.deadline - attempt.started)))
+        pause_ms = BACKOFF_MS * 2 ** (retry_state.count - 1) * self.context.rng.uniform(0.5, 1.5)
+        self.context.clock.sleep(min(pause_ms, max(0.0, self.request.deadline - attempt.started)))
 
-    def check_repeat(self, stage: Stage, tries: Tries, error: StageError) -> None:
+    def check_retry(self, stage: Stage, retry_state: RetryState, error: StageError) -> None:
         """Raise RunError if a failed attempt may not be retried."""
         if error.dispatched and not self.may_repeat(stage):
             detail = f"{error.detail}; it is not idempotent and not retried"
             raise RunError(detail, Code.OUTCOME_UNKNOWN, stage.name) from error
         if error.code in {Code.DEADLINE_PASSED, Code.STAGE_FAILED}:
             raise RunError(error.detail, error.code, stage.name) from error
-        if tries.count >= MOST_ATTEMPTS:
+        if retry_state.count >= MAX_ATTEMPTS:
             raise RunError(error.detail, error.code, stage.name) from error
         if not self.context.budgets[self.budget_name(stage)].spend():
             raise RunError(error.detail, Code.RETRY_BUDGET_SPENT, stage.name) from error
 
-    def abandon(self, attempt: Attempt) -> None:
+    def record_cancelled(self, attempt: Attempt) -> None:
         """Record an attempt whose request was cancelled, and cancel it at its server."""
         self.mark_dispatched()
         stage, body = attempt.call.stage, attempt.call.body
@@ -250,14 +260,14 @@
         """Record that a stage may have begun to run."""
         self.dispatched = True
 
-    def elapsed(self, attempt: Attempt) -> float:
+    def elapsed_ms(self, attempt: Attempt) -> float:
         """Return how long an attempt has taken so far, in milliseconds."""
         return self.context.clock.now() - attempt.started
 
     def charge(self, attempt: Attempt, use: str) -> float:
         """Charge the time of an attempt to the ledger and return its cost."""
         server = attempt.choice.state.server
-        elapsed = self.elapsed(attempt)
+        elapsed_ms = self.elapsed_ms(attempt)
         charge = Charge(
             self.request.team.name,
             self.request.pipeline.name,
@@ -265,8 +275,8 @@
             server.accelerator or server.serves,
             use,
         )
-        self.context.ledger.add(charge, server, elapsed)
-        return elapsed / 1000.0 * server.price
+        self.context.ledger.add(charge, server, elapsed_ms)
+        return elapsed_ms / 1000.0 * server.price
 
     def budget_name(self, stage: Stage) -> str:
         """Return the name of the retry budget of a stage."""
--- a/packages/core/src/mountladder/requests/detachedrun.py
+++ b/packages/core/src/mountladder/requests/detachedrun.py
@@ -27,7 +27,7 @@
     Args:
         run: The run.
         clock: The clock.
-        ended: Called once the run finished, with its error or None.
+        on_finished: Called once the run finished, with its error or None.
         tasks: The group that the task is added to.
     """
 
@@ -35,30 +35,30 @@
         self,
         run: PipelineRun,
         clock: Clock,
-        ended: Callable[[MountladderError | None], None],
+        on_finished: Callable[[MountladderError | None], None],
         tasks: Group,
     ) -> None:
         self.run = run
         self.clock = clock
-        self.ended = ended
+        self.on_finished = on_finished
         self.chunks: list[Chunk] = []
-        self.more = Event()
+        self.updated = Event()
         self.error: MountladderError | None = None
-        self.task = tasks.spawn(self.work)
+        self.task = tasks.spawn(self.execute)
 
-    def work(self) -> None:
+    def execute(self) -> None:
         """Run the pipeline to completion."""
         try:
             for chunk in self.run.chunks():
                 self.chunks.append(chunk)
-                self.more.set()
+                self.updated.set()
         except MountladderError as error:
             self.error = error
         except BaseException as error:
             self.error = RunError(f"{type(error).__name__}: {error}", Code.OUTCOME_UNKNOWN)
         finally:
-            self.ended(self.error)
-            self.more.set()
+            self.on_finished(self.error)
+            self.updated.set()
 
     def read(self) -> Iterator[Chunk]:
         """Yield the chunks as they arrive, until the run finishes or the deadline passes.
@@ -67,20 +67,20 @@
             RunError: The run failed, or the deadline passed before its outcome was known.
         """
         deadline = self.run.request.deadline
-        given = 0
+        yielded = 0
         while True:
-            self.more.clear()
-            while given < len(self.chunks):
-                yield self.chunks[given]
-                given += 1
+            self.updated.clear()
+            while yielded < len(self.chunks):
+                yield self.chunks[yielded]
+                yielded += 1
             if self.task.ready():
                 break
-            if not self.clock.wait(self.more, deadline - self.clock.now()):
-                raise self.too_late()
+            if not self.clock.wait(self.updated, deadline - self.clock.now()):
+                raise self.deadline_error()
         if self.error is not None:
             raise self.error
 
-    def too_late(self) -> RunError:
+    def deadline_error(self) -> RunError:
         """Return the error for a caller whose deadline passed while the run continues."""
         if self.run.attempts.unrepeatable:
             detail = "the deadline passed; a repeat with the same key may get the answer"
--- a/packages/core/src/mountladder/requests/eventreader.py
+++ b/packages/core/src/mountladder/requests/eventreader.py
@@ -13,7 +13,7 @@
 from mountladder.errors import MALFORMED, StageError
 from mountladder.requests.chunk import Chunk
 
-MOST_EVENT_BYTES = 65_536
+MAX_EVENT_BYTES = 65_536
 _END = b"\n\n"
 _EVENT = re.compile(rb"id: (\d+)\ndata: (.+)")
 _DONE = b"event: done\ndata: "
@@ -33,7 +33,7 @@
     def __init__(self, held: int) -> None:
         self.held = held
         self.ended = False
-        self.rest = b""
+        self.incomplete = b""
 
     def feed(self, data: bytes, load: int | None) -> Chunk | None:
         """Add received bytes and return the new complete tokens, or None.
@@ -42,24 +42,24 @@
             StageError: The engine reported an error, or the stream is malformed.
         """
         first = self.held + 1
-        alone = not self.rest and data.find(_END) == len(data) - len(_END)
-        if alone and data.startswith(b'id: %d\ndata: "' % first):
+        is_single_event = not self.incomplete and data.find(_END) == len(data) - len(_END)
+        if is_single_event and data.startswith(b'id: %d\ndata: "' % first):
             self.held = first
             return Chunk(first, 1, data, load)
-        data = self.rest + data
-        *events, self.rest = data.split(_END)
-        if len(self.rest) > MOST_EVENT_BYTES:
+        data = self.incomplete + data
+        *events, self.incomplete = data.split(_END)
+        if len(self.incomplete) > MAX_EVENT_BYTES:
             raise StageError("an event exceeds the maximum length", Code.BAD_ANSWER)
-        fresh = [event for event in events if self.is_fresh(event)]
-        if not fresh:
+        new_events = [event for event in events if self.is_next_token(event)]
+        if not new_events:
             return None
-        return Chunk(first, len(fresh), _END.join(fresh) + _END, load)
+        return Chunk(first, len(new_events), _END.join(new_events) + _END, load)
 
-    def is_fresh(self, event: bytes) -> bool:
+    def is_next_token(self, event: bytes) -> bool:
         """Check an event and return whether it holds the next token."""
         match = _EVENT.fullmatch(event)
         if match is None:
-            self.take_other(event)
+            self.handle_other(event)
             return False
         number = int(match.group(1))
         if number <= self.held:
@@ -71,16 +71,16 @@
         self.held = number
         return True
 
-    def take_other(self, event: bytes) -> None:
+    def handle_other(self, event: bytes) -> None:
         """Handle an event that holds no token."""
         if event.startswith(_DONE):
-            self.take_end(event[len(_DONE) :])
+            self.check_end(event[len(_DONE) :])
         elif event.startswith(_ERROR):
             raise StageError(event[len(_ERROR) :].decode("utf-8", "replace")[:200])
         elif not event.startswith(b":"):
             raise StageError("an event cannot be parsed", Code.BAD_ANSWER)
 
-    def take_end(self, data: bytes) -> None:
+    def check_end(self, data: bytes) -> None:
         """Check the token count in the end event against the tokens received."""
         try:
             tokens = int(json.loads(data)["tokens"])
--- a/packages/core/src/mountladder/requests/gateway.py
+++ b/packages/core/src/mountladder/requests/gateway.py
@@ -29,25 +29,25 @@
 from mountladder.requests.request import Request
 from mountladder.requests.runcontext import RunContext
 from mountladder.requests.trace import Trace
-from mountladder.requests.tracebook import TraceBook
+from mountladder.requests.traceregistry import TraceRegistry
 from mountladder.resultclass import ResultClass
 from mountladder.routing.estimate import estimate
 
-LONGEST_DEADLINE_MS = 600_000.0
+MAX_DEADLINE_MS = 600_000.0
 # Min. interval between requests of a pipeline that are admitted against the estimate.
-PROBE_EVERY_MS = 2_000.0
+PROBE_INTERVAL_MS = 2_000.0
 # No request is admitted against the estimate if that exceeds this multiple of the remaining time.
-HOPELESS = 1.5
+HOPELESS_FACTOR = 1.5
 # A request is refused if its weighted estimate exceeds this fraction of the remaining time.
-MARGIN = 0.85
+DEADLINE_FRACTION = 0.85
 # Exponent of a team's excess over its share, which weights the load in its requests' estimates.
-SEVERITY = 2.0
+EXCESS_EXPONENT = 2.0
 # Up to this multiple of its share, a team's requests are not weighted.
-TOLERATED = 1.5
+TOLERATED_EXCESS = 1.5
 # The retry_after_ms of refusals.
 REFUSED_RETRY_MS = 1_000.0
 # These errors are raised before the key is looked up: an earlier request with it may have run.
-_BEFORE_THE_KEY = frozenset({Code.NOT_READY, Code.STORE_NEEDED})
+_BEFORE_KEY_LOOKUP = frozenset({Code.NOT_READY, Code.STORE_NEEDED})
 
 
 class Gateway:
@@ -70,7 +70,7 @@
         context: RunContext,
         admission: Admission,
         idempotency: Idempotency,
-        traces: TraceBook,
+        traces: TraceRegistry,
     ) -> None:
         self.incarnation = incarnation
         self.context = context
@@ -82,7 +82,7 @@
         self.numbers = itertools.count(1)
         self.probed_at: dict[str, float] = {}
 
-    def serve(self, called: CallerRequest) -> Reply:
+    def serve(self, caller_request: CallerRequest) -> Reply:
         """Process a request up to the point where it runs.
 
         Returns:
@@ -94,49 +94,55 @@
         """
         self.context.metrics.count(Metric.REQUESTS)
         try:
-            request = self.read(called)
+            request = self.read(caller_request)
             if request.repeatable:
                 return self.run_reply(request, None)
             decision = self.idempotency.decide(request)
         except MountladderError as error:
-            if called.key and not called.first and error.code in _BEFORE_THE_KEY:
+            if caller_request.key and not caller_request.first and error.code in _BEFORE_KEY_LOOKUP:
                 error.result = ResultClass.UNKNOWN
             self.count_error(error)
             raise
         if decision.replay is not None:
-            return Reply(request, kept=decision.replay)
+            return Reply(request, stored_answer=decision.replay)
         if decision.issued_key is not None:
-            return Reply(request, home=decision.issued_key)
+            return Reply(request, issued_key=decision.issued_key)
         return self.run_reply(request, decision.run)
 
-    def read(self, called: CallerRequest) -> Request:
+    def read(self, caller_request: CallerRequest) -> Request:
         """Validate and authenticate a request.
 
         Raises:
             RefusalError: It is malformed, its token is unknown, or it lacks a key.
         """
-        team = self.team(called.token)
-        pipeline = self.context.follower.configuration.pipeline(called.pipeline)
+        team = self.authenticate(caller_request.token)
+        pipeline = self.context.follower.configuration.pipeline(caller_request.pipeline)
         if pipeline is None:
-            raise RefusalError(f"there is no pipeline {called.pipeline!r}", Code.UNKNOWN_PIPELINE)
-        allowed_ms = pipeline.deadline_ms if called.deadline_ms is None else called.deadline_ms
-        if not 0 < allowed_ms <= LONGEST_DEADLINE_MS:
+            raise RefusalError(
+                f"there is no pipeline {caller_request.pipeline!r}", Code.UNKNOWN_PIPELINE
+            )
+        allowed_ms = (
+            pipeline.deadline_ms
+            if caller_request.deadline_ms is None
+            else caller_request.deadline_ms
+        )
+        if not 0 < allowed_ms <= MAX_DEADLINE_MS:
             raise RefusalError(f"deadline_ms: {allowed_ms!r} is out of range", Code.BAD_REQUEST)
         request = Request(
             id=f"{self.incarnation}-{next(self.numbers)}",
             pipeline=pipeline,
             team=team,
-            input=called.input,
-            deadline=called.arrived + allowed_ms,
-            key=called.key,
-            idempotent=called.idempotent,
+            input=caller_request.input,
+            deadline=caller_request.arrived + allowed_ms,
+            key=caller_request.key,
+            idempotent=caller_request.idempotent,
         )
         check_key(request.key)
         if not request.repeatable and not request.key:
             raise RefusalError("", Code.KEY_MISSING)
         return request
 
-    def team(self, token: str) -> Team:
+    def authenticate(self, token: str) -> Team:
         """Return the team to which a token belongs.
 
         Raises:
@@ -163,7 +169,7 @@
         """Run a request that may be repeated, in the caller's task."""
         error: MountladderError | None = None
         try:
-            self.enter(run.request)
+            self.admit(run.request)
             try:
                 yield from run.chunks()
             finally:
@@ -175,30 +181,30 @@
             error = RefusalError("", Code.CANCELLED)
             raise
         finally:
-            self.account(run, error)
+            self.record_outcome(run, error)
 
     def run_once(self, run: PipelineRun, record: KeyRecord) -> Iterator[Chunk]:
         """Run a request that must not be repeated, in a task that its caller cannot cancel."""
         try:
-            self.enter(run.request)
+            self.admit(run.request)
         except BaseException as error:
             self.idempotency.release(record)
             if isinstance(error, MountladderError):
-                self.account(run, error)
+                self.record_outcome(run, error)
             raise
 
-        def ended(error: MountladderError | None) -> None:
+        def on_finished(error: MountladderError | None) -> None:
             """Record the outcome of the key and of the request once the run finished."""
             self.admission.leave(run.request.team)
             if error is None:
                 self.idempotency.finish(record, run.answer.encode())
             else:
                 self.idempotency.fail(record, error, run.attempts.dispatched)
-            self.account(run, error)
+            self.record_outcome(run, error)
 
-        yield from DetachedRun(run, self.context.clock, ended, self.runs).read()
+        yield from DetachedRun(run, self.context.clock, on_finished, self.runs).read()
 
-    def enter(self, request: Request) -> None:
+    def admit(self, request: Request) -> None:
         """Wait for admission, or refuse a request that is not expected to meet its deadline.
 
         The part of the estimate that is due to load weighs more for a team over its share, so that
@@ -209,15 +215,15 @@
         """
         now = self.context.clock.now()
         expected = estimate(self.context, request)
-        excess = max(1.0, self.usage.excess(request.team) / TOLERATED) ** SEVERITY
-        weighed = expected.unloaded_ms + expected.crowded_ms * excess
-        remaining = request.deadline - now
-        hopeless = expected.expected_ms > HOPELESS * remaining
-        if weighed > MARGIN * remaining and (
-            hopeless or not self.probes(request.pipeline.name, now)
+        excess = max(1.0, self.usage.excess(request.team) / TOLERATED_EXCESS) ** EXCESS_EXPONENT
+        weighted_ms = expected.unloaded_ms + expected.crowded_ms * excess
+        remaining_ms = request.deadline - now
+        hopeless = expected.expected_ms > HOPELESS_FACTOR * remaining_ms
+        if weighted_ms > DEADLINE_FRACTION * remaining_ms and (
+            hopeless or not self.may_probe(request.pipeline.name, now)
         ):
             code = Code.DEADLINE_UNMEETABLE
-            if expected.expected_ms <= MARGIN * remaining:
+            if expected.expected_ms <= DEADLINE_FRACTION * remaining_ms:
                 code = Code.TEAM_LIMIT
             detail = f"it is expected to take {expected.expected_ms:.0f} ms"
             raise RefusalError(detail, code, retry_after_ms=REFUSED_RETRY_MS)
@@ -225,14 +231,14 @@
         self.admission.enter(request.team, request.pipeline.urgency, latest)
         self.usage.add(request.team, expected.unloaded_ms)
 
-    def probes(self, pipeline: str, now: float) -> bool:
+    def may_probe(self, pipeline: str, now: float) -> bool:
         """Return whether a request may run despite its estimate, to correct a wrong one."""
-        if now - self.probed_at.get(pipeline, float("-inf")) < PROBE_EVERY_MS:
+        if now - self.probed_at.get(pipeline, float("-inf")) < PROBE_INTERVAL_MS:
             return False
         self.probed_at[pipeline] = now
         return True
 
-    def account(self, run: PipelineRun, error: MountladderError | None) -> None:
+    def record_outcome(self, run: PipelineRun, error: MountladderError | None) -> None:
         """Record the outcome of a request in the metrics and its trace."""
         metrics = self.context.metrics
         now = self.context.clock.now()
--- a/packages/core/src/mountladder/requests/pipelinerun.py
+++ b/packages/core/src/mountladder/requests/pipelinerun.py
@@ -19,14 +19,14 @@
 from mountladder.requests.attempts import Attempts
 from mountladder.requests.chunk import Chunk
 from mountladder.requests.request import Request
+from mountladder.requests.retrystate import RetryState
 from mountladder.requests.runcontext import RunContext
 from mountladder.requests.stageplan import levels
 from mountladder.requests.trace import Trace
-from mountladder.requests.tries import Tries
 from mountladder.routing.pace import Pace
 
 # The retry_after_ms of refusals that have none of their own.
-USUAL_BACK_MS = 1_000.0
+DEFAULT_RETRY_AFTER_MS = 1_000.0
 _DATA = re.compile(rb'^data: "(.*)"$', re.MULTILINE)
 
 
@@ -57,7 +57,7 @@
         """
         stages = self.request.pipeline.stages
         try:
-            self.attempts.case.check(stage.name for stage in stages)
+            self.attempts.tracked.check(stage.name for stage in stages)
             for group in levels(stages):
                 if group[-1] is stages[-1] and stages[-1].stream:
                     self.run_group(group[:-1])
@@ -82,36 +82,36 @@
 
     def run_stage(self, stage: Stage) -> None:
         """Run a stage that is not streamed."""
-        tries = Tries(stage, self.body(stage), self.context.clock.now())
+        retry_state = RetryState(stage, self.body(stage), self.context.clock.now())
         while stage.name not in self.results:
-            attempt = self.attempts.begin(tries, self.left())
-            with self.attempts.watched(attempt, tries):
+            attempt = self.attempts.start(retry_state, self.remaining_stages())
+            with self.attempts.record_failures(attempt, retry_state):
                 result = self.context.backend.run(attempt.choice.state.server, attempt.call)
-                self.attempts.succeed(attempt, tries, result.load)
+                self.attempts.record_success(attempt, retry_state, result.load)
                 self.results[stage.name] = result.value
 
     def stream(self, stage: Stage) -> Iterator[Chunk]:
         """Run a streamed stage; if the stream is cut, resume it on another server."""
-        tries = Tries(stage, self.body(stage), self.context.clock.now())
+        retry_state = RetryState(stage, self.body(stage), self.context.clock.now())
         while stage.name not in self.results:
-            attempt = self.attempts.begin(tries, self.left())
+            attempt = self.attempts.start(retry_state, self.remaining_stages())
             pace = Pace(self.context, attempt)
             load = None
-            with self.attempts.watched(attempt, tries):
+            with self.attempts.record_failures(attempt, retry_state):
                 for chunk in self.context.backend.stream(attempt.choice.state.server, attempt.call):
                     load = chunk.load
                     pace.take(chunk)
-                    tries.tokens += chunk.count
+                    retry_state.tokens += chunk.count
                     self.events.append(chunk.events)
                     yield chunk
-                text = self.whole_text()
-                self.attempts.succeed(attempt, tries, load)
-                self.tokens = tries.tokens
+                text = self.full_text()
+                self.attempts.record_success(attempt, retry_state, load)
+                self.tokens = retry_state.tokens
                 self.results[stage.name] = text
 
-    def left(self) -> list[Stage]:
+    def remaining_stages(self) -> list[Stage]:
         """Return the stages without a result."""
-        return [one for one in self.request.pipeline.stages if one.name not in self.results]
+        return [stage for stage in self.request.pipeline.stages if stage.name not in self.results]
 
     def body(self, stage: Stage) -> bytes:
         """Return the body of a stage's call: model, input and the results the stage depends on."""
@@ -121,7 +121,7 @@
         model = json.dumps(stage.model).encode()
         return b'{"model":%b,"input":%b,"results":{%b}}' % (model, self.request.input, needed)
 
-    def whole_text(self) -> bytes:
+    def full_text(self) -> bytes:
         """Return the streamed text as one JSON string.
 
         Raises:
@@ -144,9 +144,9 @@
     def final_error(self, error: MountladderError) -> MountladderError:
         """Return an error for the caller: its class is "not_run" only if nothing was sent."""
         if not self.attempts.dispatched:
-            back_ms = error.retry_after_ms or USUAL_BACK_MS
+            retry_after_ms = error.retry_after_ms or DEFAULT_RETRY_AFTER_MS
             return RefusalError(
-                error.detail, _not_run(error.code), error.stage, retry_after_ms=back_ms
+                error.detail, _not_run(error.code), error.stage, retry_after_ms=retry_after_ms
             )
         if isinstance(error, RunError):
             return error
--- a/packages/core/src/mountladder/requests/reply.py
+++ b/packages/core/src/mountladder/requests/reply.py
@@ -20,14 +20,14 @@
 
     Attributes:
         request: The request.
-        kept: A stored answer as JSON, or None.
-        home: The issued key whose issuing instance must be asked, or None.
+        stored_answer: A stored answer as JSON, or None.
+        issued_key: The issued key whose issuing instance must be asked, or None.
         chunks: The tokens of the run, or None; the run is complete once they are exhausted.
         answer: Returns the complete answer as JSON once the chunks are exhausted.
     """
 
     request: Request
-    kept: bytes | None = None
-    home: IssuedKey | None = None
+    stored_answer: bytes | None = None
+    issued_key: IssuedKey | None = None
     chunks: Iterator[Chunk] | None = None
     answer: Callable[[], bytes] | None = None
--- a/packages/core/src/mountladder/requests/tries.py
+++ b/packages/core/src/mountladder/requests/retrystate.py
@@ -1,4 +1,4 @@
-# tries.py -- Retry state of one stage of one request
+# retrystate.py -- Retry state of one stage of one request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -9,13 +9,13 @@
 from mountladder.configuration.stage import Stage
 
 
-class Tries:
+class RetryState:
     """Counts the attempts at a stage and remembers the servers that failed.
 
     Args:
         stage: The stage.
         body: The body of its calls.
-        started: When the first attempt started, in the clock's milliseconds.
+        started: When the stage started, in the clock's milliseconds.
 
     Attributes:
         count: The number of attempts started.
--- a/packages/core/src/mountladder/requests/stagecall.py
+++ b/packages/core/src/mountladder/requests/stagecall.py
@@ -23,8 +23,8 @@
         deadline: When the answer must be complete, in the clock's milliseconds.
         priority: The urgency passed to engines; a lower number is served first.
         tokens_held: The number of tokens of the stream received by earlier attempts.
-        first_ms: The timeout of the result, or of the first token of a stream, in milliseconds.
-        stall_ms: The timeout between tokens of a stream, in milliseconds.
+        first_token_timeout_ms: The timeout of the first token of a stream.
+        stall_timeout_ms: The timeout between tokens of a stream.
     """
 
     request: str
@@ -34,5 +34,5 @@
     deadline: float
     priority: int = 1
     tokens_held: int = 0
-    first_ms: float = 5_000.0
-    stall_ms: float = 1_000.0
+    first_token_timeout_ms: float = 5_000.0
+    stall_timeout_ms: float = 1_000.0
--- a/packages/core/src/mountladder/requests/stageplan.py
+++ b/packages/core/src/mountladder/requests/stageplan.py
@@ -42,7 +42,11 @@
 
 
 def stage_budget(
-    costs: CostModel, pipeline: Pipeline, stage: Stage, left: Sequence[Stage], remaining_ms: float
+    costs: CostModel,
+    pipeline: Pipeline,
+    stage: Stage,
+    remaining_stages: Sequence[Stage],
+    remaining_ms: float,
 ) -> float:
     """Return the time budget of a stage, in milliseconds.
 
@@ -50,9 +54,9 @@
         costs: The learnt times.
         pipeline: The pipeline.
         stage: The stage about to run.
-        left: The stages not yet run, this one included.
+        remaining_stages: The stages not yet run, this one included.
         remaining_ms: The time until the deadline.
     """
-    total = sum(weight(costs, pipeline, one) for one in left)
+    total = sum(weight(costs, pipeline, one) for one in remaining_stages)
     own = weight(costs, pipeline, stage)
     return remaining_ms * own / total if total > 0 else remaining_ms
--- a/packages/core/src/mountladder/requests/tracebook.py
+++ b/packages/core/src/mountladder/requests/traceregistry.py
@@ -1,4 +1,4 @@
-# tracebook.py -- Traces of the most recent requests
+# traceregistry.py -- Traces of the most recent requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -10,20 +10,20 @@
 
 from mountladder.requests.trace import Trace
 
-KEPT = 1_000
+MAX_TRACES = 1_000
 
 
-class TraceBook:
+class TraceRegistry:
     """Stores the traces of the most recent requests of an instance."""
 
-    def __init__(self, kept: int = KEPT) -> None:
-        self.kept = kept
+    def __init__(self, max_traces: int = MAX_TRACES) -> None:
+        self.max_traces = max_traces
         self.traces: OrderedDict[str, Trace] = OrderedDict()
 
     def add(self, trace: Trace) -> None:
         """Add a trace and drop the oldest one above the limit."""
         self.traces[trace.request] = trace
-        if len(self.traces) > self.kept:
+        if len(self.traces) > self.max_traces:
             self.traces.popitem(last=False)
 
     def find(self, request: str) -> Trace | None:
--- a/packages/core/src/mountladder/runtime.py
+++ b/packages/core/src/mountladder/runtime.py
@@ -39,7 +39,7 @@
 from mountladder.requests.configuredlisting import ConfiguredListing
 from mountladder.requests.gateway import Gateway
 from mountladder.requests.runcontext import RunContext
-from mountladder.requests.tracebook import TraceBook
+from mountladder.requests.traceregistry import TraceRegistry
 from mountladder.routing.costmodel import CostModel
 from mountladder.routing.expectedcompletion import ExpectedCompletion
 from mountladder.routing.policy import Policy
@@ -49,14 +49,14 @@
 from mountladder.supervision import keep_running
 
 # How often this instance announces itself in the platform's list of instances.
-ANNOUNCE_MS = 5_000.0
+ANNOUNCE_INTERVAL_MS = 5_000.0
 # How often a page of old claims is deleted, and its size in rows.
-SWEEP_MS = 10_000.0
+SWEEP_INTERVAL_MS = 10_000.0
 SWEEP_PAGE = 200
 # Min. pause between steps of following the configuration.
 TICK_MS = 100.0
 # By how much longer each rank waits than the one before until it reads the store itself.
-RANK_PATIENCE_MS = 1_000.0
+RANK_DELAY_MS = 1_000.0
 # How long an instance that cannot read the store waits for its peers before it is ready.
 PEER_GRACE_MS = 1_500.0
 
@@ -129,18 +129,20 @@
         )
         self.idempotency.alive = self.membership.is_alive
         costs = CostModel()
-        chosen = policy or ExpectedCompletion(settings.drawn, settings.thrift)
-        here = settings.datacentre
-        self.router = Router(clock, rng, costs, chosen, metrics, here, settings.spill_ms)
+        routing_policy = policy or ExpectedCompletion(settings.drawn, settings.thrift)
+        datacentre = settings.datacentre
+        self.router = Router(
+            clock, rng, costs, routing_policy, metrics, datacentre, settings.spill_ms
+        )
         self.router.on_leaving = self.peers.server_leaving
         self.peers.on_leaving_server = self.router.leaving
         self.ledger = Ledger(self.me.incarnation)
-        guard = self.make_quarantine(backend)
+        quarantine = self.make_quarantine(backend)
         self.context = RunContext(
-            clock, rng, self.follower, self.router, backend, costs, self.ledger, metrics, guard
+            clock, rng, self.follower, self.router, backend, costs, self.ledger, metrics, quarantine
         )
         self.admission = Admission(clock, settings.most_running, settings.most_waiting)
-        self.traces = TraceBook()
+        self.traces = TraceRegistry()
         self.gateway = Gateway(
             self.me.incarnation, self.context, self.admission, self.idempotency, self.traces
         )
@@ -160,10 +162,10 @@
         """Return the sender of orders to this data centre's engines, or None if it is disabled."""
         if engines is None or not self.settings.orders_ms:
             return None
-        here = self.settings.datacentre
+        datacentre = self.settings.datacentre
         table = self.platform.table
-        lease = Lease(f"orders/{here}", self.me.incarnation, table, self.clock)
-        return Orders(here, self.follower, engines, lease, self.metrics)
+        lease = Lease(f"orders/{datacentre}", self.me.incarnation, table, self.clock)
+        return Orders(datacentre, self.follower, engines, lease, self.metrics)
 
     @property
     def ready(self) -> bool:
@@ -201,22 +203,22 @@
         confirmation that grows with their rank.
         """
         while True:
-            patience = self.patience_ms()
-            if self.follower.age_ms() >= patience or not self.store_read:
+            max_age_ms = self.max_age_ms()
+            if self.follower.age_ms() >= max_age_ms or not self.store_read:
                 self.poll()
             self.router.set_peers(len(self.membership.live()) - 1)
             age = self.follower.age_ms()
             self.metrics.gauge(Metric.REVISION, self.follower.configuration.revision)
             self.metrics.gauge(Metric.CONFIGURATION_AGE_MS, min(age, 1e12))
-            self.clock.sleep(max(TICK_MS, min(self.settings.poll_ms, patience - age)))
+            self.clock.sleep(max(TICK_MS, min(self.settings.poll_ms, max_age_ms - age)))
 
-    def patience_ms(self) -> float:
+    def max_age_ms(self) -> float:
         """Return how old the configuration may be before this instance reads the store itself."""
         rank = self.membership.rank()
         if rank == 0:
             return self.settings.poll_ms
-        heard = 2 * self.membership.interval_ms + rank * RANK_PATIENCE_MS
-        return self.settings.poll_ms + heard
+        fallback_ms = 2 * self.membership.interval_ms + rank * RANK_DELAY_MS
+        return self.settings.poll_ms + fallback_ms
 
     def poll(self) -> None:
         """Read the store once."""
@@ -233,11 +235,11 @@
                 self.membership.observe(self.platform.instances.instances())
             except MountladderError as error:
                 self.metrics.count(Metric.STORE_ERRORS, error.code.name.lower())
-            pace = 1_000.0 * self.membership.writers() / self.settings.most_transactions
-            self.commits.window_ms = max(self.settings.window_ms, pace)
+            min_window_ms = 1_000.0 * self.membership.writers() / self.settings.most_transactions
+            self.commits.window_ms = max(self.settings.window_ms, min_window_ms)
             self.metrics.gauge(Metric.RUNNING, self.admission.total)
             self.metrics.gauge(Metric.WAITING, len(self.admission.waiting))
-            self.clock.sleep(ANNOUNCE_MS)
+            self.clock.sleep(ANNOUNCE_INTERVAL_MS)
 
     def flush_cost(self) -> None:
         """Send the accumulated cost to the platform periodically; does not return."""
@@ -257,7 +259,7 @@
         """Delete old claims page by page, on the first live instance only; does not return."""
         after = ""
         while True:
-            self.clock.sleep(SWEEP_MS)
+            self.clock.sleep(SWEEP_INTERVAL_MS)
             if self.membership.rank() > 0:
                 continue
             try:
@@ -284,8 +286,8 @@
         self.peers.leaving = True
         self.peers.tell_all()
         self.try_announce_leaving()
-        until = self.clock.now() + self.settings.shutdown_ms
-        while (self.admission.total or self.idempotency.tasks) and self.clock.now() < until:
+        deadline = self.clock.now() + self.settings.shutdown_ms
+        while (self.admission.total or self.idempotency.tasks) and self.clock.now() < deadline:
             self.clock.sleep(TICK_MS / 4)
         if self.orders is not None and self.orders.lease.holding:
             self.orders.lease.release()
--- a/packages/entry/src/mountladder_entry/callers.py
+++ b/packages/entry/src/mountladder_entry/callers.py
@@ -38,7 +38,7 @@
         number = int(bottle.request.query.get("count", "1"))
         if not 1 <= number <= MOST_KEYS:
             raise ValueError(number)
-        team = node.gateway.team(_token())
+        team = node.gateway.authenticate(_token())
     except ValueError:
         return _refuse(RefusalError(f"count: expected 1 to {MOST_KEYS}", Code.BAD_REQUEST))
     except MountladderError as error:
@@ -53,7 +53,7 @@
         called = read(node, name)
         reply = node.gateway.serve(called)
         request = reply.request
-        if reply.home is not None:
+        if reply.issued_key is not None:
             return relay(node, reply)
         if EVENT_STREAM in bottle.request.get_header("Accept", ""):
             return stream(reply)
@@ -120,8 +120,8 @@
 def whole(reply: Reply) -> bytes:
     """Return a whole answer as JSON."""
     bottle.response.content_type = "application/json"
-    if reply.kept is not None:
-        return reply.kept
+    if reply.stored_answer is not None:
+        return reply.stored_answer
     for _ in reply.chunks:
         pass
     return reply.answer()
@@ -132,9 +132,9 @@
 
     What fails before the first token is raised here, so that it gets an HTTP status of its own.
     """
-    if reply.kept is not None:
+    if reply.stored_answer is not None:
         bottle.response.content_type = EVENT_STREAM
-        return iter([_event("done", reply.kept)])
+        return iter([_event("done", reply.stored_answer)])
     chunks = iter(reply.chunks)
     first = list(itertools.islice(chunks, 1))
     bottle.response.content_type = EVENT_STREAM
@@ -160,7 +160,7 @@
     """Answer with what the instance that issued the key answers."""
     if bottle.request.get_header(HOP_HEADER):
         raise RunError("", Code.KEY_HOME_GONE)
-    relayed = node.relay.ask(reply.home, reply.request, bottle.request)
+    relayed = node.relay.ask(reply.issued_key, reply.request, bottle.request)
     if relayed is None:
         decision = node.gateway.idempotency.stored_answer(reply.request)
         bottle.response.content_type = "application/json"
--- a/packages/entry/src/mountladder_entry/httpbackend.py
+++ b/packages/entry/src/mountladder_entry/httpbackend.py
@@ -76,7 +76,7 @@
     def stream(self, server: BackendServer, call: StageCall) -> Iterator[Chunk]:
         """Run a stage and yield its tokens; see Backend."""
         reader = EventReader(call.tokens_held)
-        response = self.open(server, call, call.first_ms, True)
+        response = self.open(server, call, call.first_token_timeout_ms, True)
         load = _load(response)
         pieces = self.pieces(response, call)
         try:
@@ -102,7 +102,7 @@
         body = response.stream(READ_BYTES)
         connection = response.connection
         socket = connection.sock if connection is not None else None
-        patience = call.first_ms
+        patience = call.first_token_timeout_ms
         limit = call.deadline - self.clock.now()
         while limit > 0:
             try:
@@ -111,7 +111,7 @@
                 piece = next(body, b"")
             except (urllib3.exceptions.HTTPError, OSError) as error:
                 raise _broken(error) from error
-            patience = call.stall_ms
+            patience = call.stall_timeout_ms
             yield piece
             limit = call.deadline - self.clock.now()
         raise StageError("the deadline passed during the stream", Code.STAGE_STALLED)
--- a/packages/standins/src/mountladder_standins/localbackend.py
+++ b/packages/standins/src/mountladder_standins/localbackend.py
@@ -57,7 +57,7 @@
         self.check(standin, b"")
         reader = EventReader(call.tokens_held)
         events = standin.stream(call.attempt, call.body, call.tokens_held)
-        patience = call.first_ms
+        patience = call.first_token_timeout_ms
         try:
             while not reader.ended:
                 limit = min(patience, call.deadline - self.clock.now())
@@ -67,7 +67,7 @@
                     raise StageError("the stream ended before its end", Code.STREAM_CUT)
                 chunk = reader.feed(event, standin.reported_load())
                 if chunk is not None:
-                    patience = call.stall_ms
+                    patience = call.stall_timeout_ms
                     yield chunk
         except _FAILURES as error:
             raise _stage_error(error) from error
--- a/packages/standins/src/mountladder_standins/localfleet.py
+++ b/packages/standins/src/mountladder_standins/localfleet.py
@@ -175,10 +175,10 @@
     def read(self, runtime: Runtime, called: CallerRequest, tokens: list[int]) -> dict[str, object]:
         """Read an answer to its end, adding the numbers of its tokens to a list."""
         reply = runtime.gateway.serve(called)
-        if reply.home is not None:
+        if reply.issued_key is not None:
             return self.relay(runtime, called, reply)
-        if reply.kept is not None:
-            return json.loads(reply.kept)
+        if reply.stored_answer is not None:
+            return json.loads(reply.stored_answer)
         for chunk in reply.chunks:
             tokens += [int(number) for number in _NUMBER.findall(chunk.events)]
         return json.loads(reply.answer())
@@ -186,7 +186,7 @@
     def relay(self, runtime: Runtime, called: CallerRequest, reply: Reply) -> dict[str, object]:
         """Ask the instance that issued a key, where it can be reached."""
         for home in self.runtimes.values():
-            if home.me.incarnation == reply.home.incarnation and self.network.reachable(
+            if home.me.incarnation == reply.issued_key.incarnation and self.network.reachable(
                 runtime.me, home.me
             ):
                 return self.read(home, called, [])
