--- a/packages/core/src/mountladder/configuration/pipeline.py
+++ b/packages/core/src/mountladder/configuration/pipeline.py
@@ -1,8 +1,8 @@
-# pipeline.py -- A pipeline of stages
+# pipeline.py -- A pipeline and its stages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A pipeline of stages."""
+"""A pipeline and its stages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from mountladder.configuration.stage import Stage
 
 DEFAULT_DEADLINE_MS = 5_000.0
-MOST_STAGES = 16
+MAX_STAGES = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +23,9 @@
     """A pipeline.
 
     Attributes:
-        deadline_ms: The deadline of a request that states none, in milliseconds.
-        stages: Its stages, each after those it needs.
-        urgency: Who is shed first under overload: a lower number is shed later.
+        deadline_ms: The default deadline of a request, in milliseconds.
+        stages: Its stages, each after those it depends on.
+        urgency: The order of load shedding: a lower number is shed later.
     """
 
     kind: ClassVar[str] = "pipeline"
@@ -35,18 +35,18 @@
 
     @classmethod
     def read(cls, fields: Fields) -> Pipeline:
-        """Read a pipeline and its stages from its table."""
+        """Parse a pipeline and its stages from its table."""
         return cls(
             name=fields.text("name"),
             labels=fields.labels("labels"),
-            deadline_ms=fields.number("deadline_ms", DEFAULT_DEADLINE_MS, least=1),
+            deadline_ms=fields.number("deadline_ms", DEFAULT_DEADLINE_MS, min_value=1),
             stages=_stages(fields),
             urgency=int(fields.number("urgency", 1)),
         )
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether every stage may be run again."""
+        """Return whether every stage may be run again."""
         return all(stage.idempotent for stage in self.stages)
 
     def table(self) -> dict[str, object]:
@@ -61,9 +61,9 @@
 
 
 def _stages(fields: Fields) -> tuple[Stage, ...]:
-    tables = fields.take("stage", list, "a list of tables", [])
-    if not 1 <= len(tables) <= MOST_STAGES:
-        fields.fault("stage", f"1 to {MOST_STAGES} stages", len(tables))
+    tables = fields.typed_value("stage", list, "a list of tables", [])
+    if not 1 <= len(tables) <= MAX_STAGES:
+        fields.fault("stage", f"1 to {MAX_STAGES} stages", len(tables))
     stages: list[Stage] = []
     for table in tables:
         stages.append(_stage(fields, table, stages))
@@ -74,8 +74,8 @@
 
 
 def _stage(fields: Fields, table: Mapping[str, object], earlier: list[Stage]) -> Stage:
-    place = f"{fields.place}: stage {len(earlier) + 1}"
-    inner = Fields(table, place, fields.error)
+    location = f"{fields.location}: stage {len(earlier) + 1}"
+    inner = Fields(table, location, fields.error)
     stage = Stage.read(inner, tuple(one.name for one in earlier[-1:]))
     names = {one.name for one in earlier}
     if stage.name in names:
--- a/packages/entry/src/mountladder_entry/callers.py
+++ b/packages/entry/src/mountladder_entry/callers.py
@@ -38,7 +38,7 @@
         number = int(bottle.request.query.get("count", "1"))
         if not 1 <= number <= MAX_KEYS:
             raise ValueError(number)
-        team = node.gateway.team(_token())
+        team = node.gateway.authenticate(_token())
     except ValueError:
         return _refuse(RefusalError(f"count: expected 1 to {MAX_KEYS}", Code.BAD_REQUEST))
     except MountladderError as error:
@@ -53,7 +53,7 @@
         caller_request = read(node, name)
         reply = node.gateway.serve(caller_request)
         request = reply.request
-        if reply.home is not None:
+        if reply.issued_key is not None:
             return relay(node, reply)
         if EVENT_STREAM in bottle.request.get_header("Accept", ""):
             return stream(reply)
@@ -120,8 +120,8 @@
 def json_answer(reply: Reply) -> bytes:
     """Run a request to its end and return its answer as JSON."""
     bottle.response.content_type = "application/json"
-    if reply.kept is not None:
-        return reply.kept
+    if reply.stored_answer is not None:
+        return reply.stored_answer
     for _ in reply.chunks:
         pass
     return reply.answer()
@@ -132,9 +132,9 @@
 
     A failure before the first token is raised here, so that it is answered with an HTTP status.
     """
-    if reply.kept is not None:
+    if reply.stored_answer is not None:
         bottle.response.content_type = EVENT_STREAM
-        return iter([_event("done", reply.kept)])
+        return iter([_event("done", reply.stored_answer)])
     chunks = iter(reply.chunks)
     first = list(itertools.islice(chunks, 1))
     bottle.response.content_type = EVENT_STREAM
@@ -160,7 +160,7 @@
     """Return the answer of the instance that issued the request's key."""
     if bottle.request.get_header(HOP_HEADER):
         raise RunError("", Code.KEY_HOME_GONE)
-    relayed = node.relay.forward(reply.home, reply.request, bottle.request)
+    relayed = node.relay.forward(reply.issued_key, reply.request, bottle.request)
     if relayed is None:
         decision = node.gateway.idempotency.stored_answer(reply.request)
         bottle.response.content_type = "application/json"
--- a/packages/entry/src/mountladder_entry/httpbackend.py
+++ b/packages/entry/src/mountladder_entry/httpbackend.py
@@ -76,7 +76,7 @@
     def stream(self, server: BackendServer, call: StageCall) -> Iterator[Chunk]:
         """Run a stage and yield its tokens; see Backend."""
         reader = EventReader(call.tokens_held)
-        response = self.open(server, call, call.first_ms, True)
+        response = self.open(server, call, call.first_token_timeout_ms, True)
         load = _load(response)
         parts = self.read_parts(response, call)
         try:
@@ -102,7 +102,7 @@
         body = response.stream(READ_BYTES)
         connection = response.connection
         socket = connection.sock if connection is not None else None
-        timeout_ms = call.first_ms
+        timeout_ms = call.first_token_timeout_ms
         remaining_ms = call.deadline - self.clock.now()
         while remaining_ms > 0:
             try:
@@ -111,7 +111,7 @@
                 part = next(body, b"")
             except (urllib3.exceptions.HTTPError, OSError) as error:
                 raise _read_error(error) from error
-            timeout_ms = call.stall_ms
+            timeout_ms = call.stall_timeout_ms
             yield part
             remaining_ms = call.deadline - self.clock.now()
         raise StageError("the deadline passed during the stream", Code.STAGE_STALLED)
