--- a/bench/fits.py
+++ b/bench/fits.py
@@ -1,8 +1,8 @@
-# fits.py -- Straight lines through measured sizes
+# fits.py -- Linear fits of measured values
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Straight lines through measured sizes."""
+"""Linear fits of measured values."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     Attributes:
         name: What was measured.
         unit: The unit of the values.
-        of: What the sizes count.
-        sizes: The sizes.
-        values: What was measured at each.
+        of: The unit of the sizes.
+        sizes: The sizes, such as numbers of servers.
+        values: The measured value at each size.
     """
 
     name: str
@@ -36,14 +36,14 @@
 
     @property
     def residual(self) -> float:
-        """The largest distance from the line, as a share of the largest value."""
-        away = [abs(y - self.at(x)) for x, y in zip(self.sizes, self.values)]
-        return max(away) / max(map(abs, self.values))
+        """The largest distance of a point from the line, as a fraction of the largest value."""
+        distances = [abs(y - self.predict(x)) for x, y in zip(self.sizes, self.values)]
+        return max(distances) / max(map(abs, self.values))
 
-    def at(self, size: float) -> float:
+    def predict(self, size: float) -> float:
         return self.line.intercept + self.line.slope * size
 
-    def figures(self, most_at: tuple[float, float] | None = None) -> list[Figure]:
+    def figures(self, max_at: tuple[float, float] | None = None) -> list[Figure]:
         points = [
             Figure(f"{self.name}, {size:g} {self.of}", value, self.unit)
             for size, value in zip(self.sizes, self.values)
@@ -51,8 +51,8 @@
         points.append(Figure(f"{self.name}: slope", self.line.slope, f"{self.unit}/{self.of}"))
         points.append(Figure(f"{self.name}: intercept", self.line.intercept, self.unit))
         points.append(Figure(f"{self.name}: residual", self.residual, "share", most=0.35))
-        if most_at is not None:
-            size, most = most_at
+        if max_at is not None:
+            size, max_value = max_at
             name = f"{self.name}, worked out for {size:g} {self.of}"
-            points.append(Figure(name, self.at(size), self.unit, most=most))
+            points.append(Figure(name, self.predict(size), self.unit, most=max_value))
         return points
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-# slopes.py -- What control costs by the number of nodes, documents, servers and keys
+# slopes.py -- Cost of the control plane by the number of instances, documents and keys
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What control costs by the number of nodes, documents, servers and keys."""
+"""Cost of the control plane by the number of instances, documents and keys."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from outcomes import Figure
 
 NODES = (6, 12, 24)
-WARM_MS = 15_000.0
+WARM_UP_MS = 15_000.0
 SPAN_MS = 30_000.0
 DOCUMENTS = (1_500, 3_000, 6_000)
 KEYS = (2_000, 4_000, 8_000)
@@ -40,43 +40,48 @@
 
 
 def measure() -> list[Figure]:
-    return [figure for fit, most in fits() for figure in fit.figures(most)] + [message_cost()]
+    return [figure for fit, max_at in fits() for figure in fit.figures(max_at)] + [message_cost()]
 
 
 def fits() -> list[tuple[Fit, tuple[float, float] | None]]:
-    """Return every fit with the size and bound it must hold at two years' size."""
+    """Return every fit, with the size expected in two years and the upper bound there, or None."""
     idle = [idle_fleet(number) for number in NODES]
     names = ("messages sent", "bytes sent", "processor time", "store reads for configuration")
     units = ("1/s", "bytes/s", "ms/s", "1/s in all")
-    made = [
+    fitted = [
         (Fit(f"{name} by a node", unit, "nodes", NODES, tuple(one[index] for one in idle)), None)
         for index, (name, unit) in enumerate(zip(names, units))
     ]
-    made[0] = (made[0][0], (24, 14.0))
-    made[1] = (made[1][0], (24, 2_500.0))
-    made[2] = (made[2][0], (24, 19.0))
+    fitted[0] = (fitted[0][0], (24, 14.0))
+    fitted[1] = (fitted[1][0], (24, 2_500.0))
+    fitted[2] = (fitted[2][0], (24, 19.0))
     adopt = tuple(adopt_ms(number) for number in DOCUMENTS)
-    made.append((Fit("adopting a change", "ms", "documents", DOCUMENTS, adopt), (5_800, 19.0)))
+    fitted.append((Fit("adopting a change", "ms", "documents", DOCUMENTS, adopt), (5_800, 19.0)))
     memory = tuple(memory_of(lambda n=number: configuration(n)) for number in DOCUMENTS)
-    made.append(
+    fitted.append(
         (Fit("memory of a configuration", "MB", "documents", DOCUMENTS, memory), (5_800, 64))
     )
-    kept = tuple(memory_of(lambda n=number: keys(n)) for number in KEYS)
-    made.append((Fit("memory of kept keys", "MB", "keys", KEYS, kept), (30_000, 96)))
-    return made
+    key_memory = tuple(memory_of(lambda n=number: keys(n)) for number in KEYS)
+    fitted.append((Fit("memory of kept keys", "MB", "keys", KEYS, key_memory), (30_000, 96)))
+    return fitted
 
 
 def idle_fleet(number: int) -> tuple[float, float, float, float]:
-    """Run instances of one data centre without load; return what each costs a second."""
+    """Run instances of one data centre without load.
+
+    Returns:
+        The messages, bytes and milliseconds of processor time per second and instance, and the
+        store reads per second of all instances together.
+    """
     clock = VirtualClock()
     fleet = LocalFleet(clock)
 
     def work():
-        fleet.append(documents(100))
+        fleet.change_configuration(documents(100))
         for one in range(number):
             fleet.start(f"a-{one:03d}", "a")
         fleet.wait_ready()
-        clock.sleep(WARM_MS)
+        clock.sleep(WARM_UP_MS)
         runtimes = list(fleet.runtimes.values())
         before = [totals(runtimes), time.process_time()]
         clock.sleep(SPAN_MS)
@@ -101,7 +106,7 @@
 
 
 def documents(number: int) -> list:
-    """Teams and servers as they are mixed at two years' size."""
+    """Teams and servers, in the ratio expected in two years (5 to 3)."""
     teams = [
         Team(f"t{one}", {"tier": "x"}, hashlib.sha256(str(one).encode()).hexdigest(), 1.0, 0, "")
         for one in range(number * 5 // 8)
@@ -129,7 +134,7 @@
 
 
 def adopt_ms(number: int) -> float:
-    """Processor time of decoding and adopting one change."""
+    """Processor time of decoding and applying one change, in milliseconds."""
     base = configuration(number)
     value = Change(2, "o", "a", 0.0, (documents(16)[-1],), ()).encode()
     return timed_ms(lambda: base.after(Change.decode(value)).teams_by_token, 20)
@@ -146,16 +151,16 @@
 def memory_of(make: Callable[[], object]) -> float:
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    made = make()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del made
     return size / 1e6
 
 
 def keys(number: int) -> KeyRegistry:
-    """The keys of finished requests, with answers of 500 bytes."""
-    book = KeyRegistry(VirtualClock())
+    """A registry of the keys of finished requests, with answers of 500 bytes."""
+    registry = KeyRegistry(VirtualClock())
     for one in range(number):
         answer = b'"' + b"x" * 500 + b'"'
         record = KeyRecord(
@@ -167,13 +172,13 @@
             KeyState.DONE,
             answer,
         )
-        book.begin(record)
-        book.end(record)
-    return book
+        registry.begin(record)
+        registry.end(record)
+    return registry
 
 
 def message_cost() -> Figure:
-    """Processor time of one heartbeat over TCP: encode, seal, send, receive, check, decode."""
+    """Processor time of one heartbeat over TCP: encode, sign, send, receive, verify, decode."""
     first, second = socket.socketpair()
     links = [
         TcpLink(end, b"secret", Instance(str(one), str(one), "a", "", ""))
--- a/packages/cli/src/mountladder_cli/configuring.py
+++ b/packages/cli/src/mountladder_cli/configurationcommands.py
@@ -1,4 +1,4 @@
-# configuring.py -- Commands that read and change the configuration
+# configurationcommands.py -- Commands that read and change the configuration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -15,10 +15,10 @@
 from mountladder.configuration.documents import KINDS, parse_documents
 from mountladder.errors import DocumentError
 from mountladder_cli import porcelain
-from mountladder_cli.applied import Applied
+from mountladder_cli.changeresult import ChangeResult
 from mountladder_cli.session import EXIT_FAILED, Session
 
-WAIT_MS = 10_000.0
+WAIT_TIMEOUT_MS = 10_000.0
 KIND = click.Choice(sorted(KINDS))
 FILES = click.option(
     "-f", "--file", "files", multiple=True, required=True, type=click.Path(path_type=Path)
@@ -26,11 +26,11 @@
 
 
 def read_files(files: tuple[Path, ...]) -> list[Document]:
-    """Return the documents of some files.
+    """Return the documents that configuration files define.
 
     Raises:
         DocumentError: A file cannot be read.
-        ExceptionGroup: Of an error for each fault in them.
+        ExceptionGroup: One error for each fault in a file.
     """
     documents: list[Document] = []
     for path in files:
@@ -42,37 +42,39 @@
     return documents
 
 
-def show_applied(session: Session, applied: Applied) -> None:
-    """Print the outcome of a change."""
+def show_result(session: Session, result: ChangeResult) -> None:
+    """Print the result of a change."""
     table = {
-        "revision": applied.revision,
-        "changed": list(applied.changed),
-        "warnings": [str(warning) for warning in applied.warnings],
+        "revision": result.revision,
+        "changed": list(result.changed),
+        "warnings": [str(warning) for warning in result.warnings],
     }
-    lines = [f"revision {applied.revision}"]
-    lines += [f"  changed {key}" for key in applied.changed]
-    lines += [f"  warning {warning}" for warning in applied.warnings]
+    lines = [f"revision {result.revision}"]
+    lines += [f"  changed {key}" for key in result.changed]
+    lines += [f"  warning {warning}" for warning in result.warnings]
     session.show(table, lambda: "\n".join(lines))
 
 
 @click.command("apply")
 @FILES
-@click.option("--revision", type=int, help="The revision that the change is made against.")
-@click.option("--wait", is_flag=True, help="Wait until every live instance has it in force.")
+@click.option("--revision", type=int, help="Fail unless this is the current revision.")
+@click.option("--wait", is_flag=True, help="Wait until every live instance uses the change.")
 @click.pass_obj
 def apply(session: Session, files: tuple[Path, ...], revision: int | None, wait: bool) -> None:
-    """Add or replace documents, all or none."""
+    """Add or replace the documents of files in one change."""
     behind = []
     with session.platform() as platform:
         documents = read_files(files)
-        applied = porcelain.apply(platform, session.clock, session.author, documents, revision)
-        show_applied(session, applied)
+        result = porcelain.apply(platform, session.clock, session.author, documents, revision)
+        show_result(session, result)
         if wait:
             behind = porcelain.wait_in_force(
-                platform, session.clock, applied.revision, WAIT_MS, session.operator_token
+                platform, session.clock, result.revision, WAIT_TIMEOUT_MS, session.operator_token
             )
-    for one in behind:
-        click.echo(f"not in force on {one.instance.name}: {one.trouble or one.revision}", err=True)
+    for status in behind:
+        click.echo(
+            f"not in force on {status.instance.name}: {status.error or status.revision}", err=True
+        )
     if behind:
         sys.exit(EXIT_FAILED)
 
@@ -81,10 +83,10 @@
 @FILES
 @click.pass_obj
 def diff(session: Session, files: tuple[Path, ...]) -> None:
-    """Show what applying some files would change."""
+    """Show what applying files would change."""
     with session.platform() as platform:
         base = porcelain.load(platform, session.clock)
-        changed = porcelain.differing(base, read_files(files))
+        changed = porcelain.changed_documents(base, read_files(files))
         rows = [
             {"key": one.key, "change": "replace" if one.key in base.documents else "add"}
             for one in changed
@@ -109,7 +111,7 @@
 @click.argument("name")
 @click.pass_obj
 def describe(session: Session, kind: str, name: str) -> None:
-    """Show one document whole."""
+    """Show every field of a document."""
     with session.platform() as platform:
         table = porcelain.find(porcelain.load(platform, session.clock), kind, name).table()
         session.show(table, lambda: "\n".join(f"{key}: {value}" for key, value in table.items()))
@@ -122,8 +124,8 @@
 def delete(session: Session, kind: str, name: str) -> None:
     """Remove a document."""
     with session.platform() as platform:
-        applied = porcelain.delete(platform, session.clock, session.author, kind, name)
-        show_applied(session, applied)
+        result = porcelain.delete(platform, session.clock, session.author, kind, name)
+        show_result(session, result)
 
 
 @click.command("label")
@@ -132,11 +134,11 @@
 @click.argument("labels", nargs=-1, required=True)
 @click.pass_obj
 def label(session: Session, kind: str, name: str, labels: tuple[str, ...]) -> None:
-    """Set labels with key=value, remove them with key-."""
+    """Set labels (key=value) or remove them (key-)."""
     with session.platform() as platform:
         pairs = dict(_pair(text) for text in labels)
-        applied = porcelain.label(platform, session.clock, session.author, kind, name, pairs)
-        show_applied(session, applied)
+        result = porcelain.label(platform, session.clock, session.author, kind, name, pairs)
+        show_result(session, result)
 
 
 @click.command("drain")
@@ -151,14 +153,14 @@
 @click.argument("server")
 @click.pass_obj
 def undrain(session: Session, server: str) -> None:
-    """Send new work to a backend server again."""
+    """Resume sending new work to a backend server."""
     _drain(session, server, False)
 
 
 def _drain(session: Session, server: str, draining: bool) -> None:
     with session.platform() as platform:
-        applied = porcelain.drain(platform, session.clock, session.author, server, draining)
-        show_applied(session, applied)
+        result = porcelain.drain(platform, session.clock, session.author, server, draining)
+        show_result(session, result)
 
 
 def _line(document: Document) -> str:
--- a/packages/cli/src/mountladder_cli/main.py
+++ b/packages/cli/src/mountladder_cli/main.py
@@ -1,8 +1,8 @@
-# main.py -- The command mountladder
+# main.py -- Entry point of the mountladder command
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The command mountladder."""
+"""Entry point of the mountladder command."""
 
 from gevent import monkey
 
@@ -12,7 +12,7 @@
 
 import click
 
-from mountladder_cli import configuring, observing, standing_in, trying
+from mountladder_cli import configurationcommands, requestcommands, standincommands, statuscommands
 from mountladder_cli.session import Session
 
 DEFAULT_PLATFORM = "http://127.0.0.1:8000"
@@ -27,10 +27,10 @@
 def main(
     context: click.Context, platform: str, author: str, operator_token: str, output: str
 ) -> None:
-    """Operate mountladder: configure it, see what it does, send requests."""
+    """Configure mountladder, inspect it, and send requests to it."""
     context.obj = Session(platform, author, operator_token, output)
 
 
-for _module in (configuring, observing, trying, standing_in):
+for _module in (configurationcommands, statuscommands, requestcommands, standincommands):
     for _command in _module.COMMANDS:
         main.add_command(_command)
--- a/packages/cli/src/mountladder_cli/porcelain.py
+++ b/packages/cli/src/mountladder_cli/porcelain.py
@@ -1,8 +1,8 @@
-# porcelain.py -- Everything an operator does, as functions
+# porcelain.py -- The operations of the command line as functions
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Everything an operator does, as functions."""
+"""The operations of the command line as functions."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from mountladder.errors import DocumentError, MountladderError, RevisionConflictError
 from mountladder.membership.instance import Instance
 from mountladder.store.platform import Platform
-from mountladder_cli.applied import Applied
-from mountladder_cli.calls import fetch, issue_keys, request
+from mountladder_cli.changeresult import ChangeResult
 from mountladder_cli.edit import Edit
-from mountladder_cli.standing import Standing
+from mountladder_cli.instanceclient import fetch, issue_keys, request
+from mountladder_cli.instancestatus import InstanceStatus
 
 __all__ = [
-    "amend", "apply", "change", "cost", "delete", "differing", "drain", "explain", "fetch",
-    "find", "history", "issue_keys", "label", "lift", "load", "quarantined", "request",
-    "standing", "status", "wait_in_force",
+    "apply", "change", "changed_documents", "cost", "delete", "drain", "explain", "fetch",
+    "find", "history", "instance_status", "issue_keys", "label", "lift", "load", "quarantined",
+    "request", "retry_change", "status", "wait_in_force",
 ]  # fmt: skip
-TRIES = 5
+MAX_ATTEMPTS = 5
 POLL_MS = 100.0
 HISTORY_PAGE = 100
 
@@ -49,24 +49,24 @@
 
 def change(
     platform: Platform, clock: Clock, author: str, base: Configuration, edit: Edit
-) -> Applied:
-    """Make one change against a configuration, whole or not at all.
+) -> ChangeResult:
+    """Make one change against a configuration, atomically.
 
     Raises:
-        ExceptionGroup: Of an error for each reference that would not hold.
+        ExceptionGroup: One error for each reference that would be broken.
         RevisionConflictError: Another change was accepted first.
-        StoreUnavailableError: Nothing was written.
-        StoreAmbiguousError: It could not be settled whether the change was accepted.
+        StoreUnavailableError: The store cannot be reached; nothing was written.
+        StoreAmbiguousError: It could not be determined whether the change was accepted.
     """
     if not edit.puts and not edit.deletes:
-        return Applied(base.revision, (), ())
+        return ChangeResult(base.revision, (), ())
     operation = uuid.uuid4().hex
-    tried = Change(base.revision + 1, operation, author, 0.0, edit.puts, edit.deletes)
-    warnings = check(base.after(tried))
+    candidate = Change(base.revision + 1, operation, author, 0.0, edit.puts, edit.deletes)
+    warnings = check(base.after(candidate))
     log = ChangeLog(platform.table, platform.objects, clock)
-    made = log.append(base, operation, author, edit.puts, edit.deletes)
+    accepted = log.append(base, operation, author, edit.puts, edit.deletes)
     keys = tuple(document.key for document in edit.puts) + edit.deletes
-    return Applied(made.revision, keys, tuple(warnings))
+    return ChangeResult(accepted.revision, keys, tuple(warnings))
 
 
 def apply(
@@ -75,15 +75,15 @@
     author: str,
     documents: Sequence[Document],
     revision: int | None = None,
-) -> Applied:
-    """Add or replace documents; those that are as they stand already are left out.
+) -> ChangeResult:
+    """Add or replace documents; unchanged ones are left out.
 
     Args:
         platform: The platform.
         clock: The clock.
-        author: Who makes the change.
+        author: The name recorded with the change.
         documents: The documents.
-        revision: The revision it is made against, or None for the newest.
+        revision: The revision that the change is based on, or None for the newest.
 
     Raises:
         RevisionConflictError: The newest revision is another one.
@@ -91,24 +91,24 @@
     base = load(platform, clock)
     if revision is not None and revision != base.revision:
         raise RevisionConflictError(revision, base.revision)
-    return change(platform, clock, author, base, Edit(differing(base, documents), ()))
+    return change(platform, clock, author, base, Edit(changed_documents(base, documents), ()))
 
 
-def differing(base: Configuration, documents: Sequence[Document]) -> tuple[Document, ...]:
-    """Return the documents that differ from what stands."""
+def changed_documents(base: Configuration, documents: Sequence[Document]) -> tuple[Document, ...]:
+    """Return the documents that differ from those of a configuration."""
     return tuple(one for one in documents if base.documents.get(one.key) != one)
 
 
-def amend(
+def retry_change(
     platform: Platform, clock: Clock, author: str, edit: Callable[[Configuration], Edit]
-) -> Applied:
-    """Make a change that is worked out anew where another one was accepted first."""
-    for attempt in range(TRIES):
+) -> ChangeResult:
+    """Make a change; compute it again, up to MAX_ATTEMPTS times, if another was accepted first."""
+    for attempt in range(MAX_ATTEMPTS):
         base = load(platform, clock)
         try:
             return change(platform, clock, author, base, edit(base))
         except RevisionConflictError:
-            if attempt + 1 == TRIES:
+            if attempt + 1 == MAX_ATTEMPTS:
                 raise
     raise AssertionError("unreachable")
 
@@ -117,7 +117,7 @@
     """Return a document.
 
     Raises:
-        DocumentError: There is none of this kind and name.
+        DocumentError: The configuration has no document of this kind and name.
     """
     document = configuration.documents.get(f"{kind}/{name}")
     if document is None:
@@ -125,14 +125,14 @@
     return document
 
 
-def delete(platform: Platform, clock: Clock, author: str, kind: str, name: str) -> Applied:
+def delete(platform: Platform, clock: Clock, author: str, kind: str, name: str) -> ChangeResult:
     """Remove a document."""
 
     def edit(base: Configuration) -> Edit:
-        """Work the change out."""
+        """Return the edit for a configuration."""
         return Edit((), (find(base, kind, name).key,))
 
-    return amend(platform, clock, author, edit)
+    return retry_change(platform, clock, author, edit)
 
 
 def label(
@@ -142,28 +142,28 @@
     kind: str,
     name: str,
     labels: dict[str, str | None],
-) -> Applied:
+) -> ChangeResult:
     """Set labels of a document; a label whose value is None is removed."""
 
     def edit(base: Configuration) -> Edit:
-        """Work the change out."""
+        """Return the edit for a configuration."""
         document = find(base, kind, name)
         merged = {**document.labels, **labels}
         kept = {key: value for key, value in merged.items() if value is not None}
-        return Edit(differing(base, [dataclasses.replace(document, labels=kept)]), ())
+        return Edit(changed_documents(base, [dataclasses.replace(document, labels=kept)]), ())
 
-    return amend(platform, clock, author, edit)
+    return retry_change(platform, clock, author, edit)
 
 
-def drain(platform: Platform, clock: Clock, author: str, name: str, draining: bool) -> Applied:
+def drain(platform: Platform, clock: Clock, author: str, name: str, draining: bool) -> ChangeResult:
     """Stop or resume sending new work to a backend server."""
 
     def edit(base: Configuration) -> Edit:
-        """Work the change out."""
+        """Return the edit for a configuration."""
         server = dataclasses.replace(find(base, "server", name), draining=draining)
-        return Edit(differing(base, [server]), ())
+        return Edit(changed_documents(base, [server]), ())
 
-    return amend(platform, clock, author, edit)
+    return retry_change(platform, clock, author, edit)
 
 
 def history(platform: Platform, clock: Clock, after: int = 0) -> Iterator[Change]:
@@ -175,31 +175,31 @@
 
 
 def cost(platform: Platform) -> dict[Charge, Amount]:
-    """Return the cost of all work so far, as far as instances have sent it."""
+    """Return the cost of all work that instances have recorded in the platform's table."""
     return read_totals(platform.table)
 
 
-def standing(instance: Instance, token: str) -> Standing:
-    """Ask an instance how it stands; one that does not answer is shown with the reason."""
+def instance_status(instance: Instance, token: str) -> InstanceStatus:
+    """Fetch the status of an instance; if it does not answer, the result holds the reason."""
     try:
         table = fetch(instance.web, "/ops/status", token)
-        return Standing(instance, table, "")
+        return InstanceStatus(instance, table, "")
     except MountladderError as error:
-        return Standing(instance, {}, str(error))
+        return InstanceStatus(instance, {}, str(error))
 
 
-def status(platform: Platform, token: str = "") -> list[Standing]:
-    """Ask every listed instance how it stands."""
-    return [standing(one, token) for one in platform.instances.instances()]
+def status(platform: Platform, token: str = "") -> list[InstanceStatus]:
+    """Fetch the status of every listed instance."""
+    return [instance_status(one, token) for one in platform.instances.instances()]
 
 
 def wait_in_force(
     platform: Platform, clock: Clock, revision: int, limit_ms: float, token: str = ""
-) -> list[Standing]:
-    """Wait until every listed instance that stays has a revision in force.
+) -> list[InstanceStatus]:
+    """Wait until every listed instance that is not leaving uses a revision or a newer one.
 
     Returns:
-        The instances that do not have it when the time is over.
+        The instances that do not use it after limit_ms.
     """
     until = clock.now() + limit_ms
     while True:
@@ -214,10 +214,10 @@
 
 
 def explain(platform: Platform, wanted: str, token: str = "") -> dict[str, object]:
-    """Return what happened to a request, from whichever instance took it.
+    """Return the trace of a request, from the instance that received it.
 
     Raises:
-        DocumentError: No reachable instance knows of it.
+        DocumentError: The instance is not listed, does not answer or does not know the request.
     """
     for instance in platform.instances.instances():
         if wanted.startswith(instance.incarnation):
@@ -226,22 +226,22 @@
 
 
 def quarantined(address: str, token: str) -> list[dict[str, object]]:
-    """Return the requests under which servers ended, as an instance knows them.
+    """Return the suspects that an instance knows: requests on which servers crashed.
 
     Args:
         address: The IP number and port of the instance's metrics.
-        token: The key that all instances share.
+        token: The secret that all instances share.
 
     Raises:
-        DocumentError: The instance does not answer, or refuses.
+        DocumentError: The instance does not answer, or refuses the token.
     """
     return fetch(address, "/quarantine", token)["suspects"]
 
 
 def lift(address: str, token: str, fingerprint: str) -> None:
-    """Clear a request under which servers ended, on all instances.
+    """Clear a suspect on all instances.
 
     Raises:
-        DocumentError: The instance does not answer, refuses, or knows nothing against it.
+        DocumentError: The instance does not answer, refuses the token, or knows no such suspect.
     """
     fetch(address, f"/quarantine/{fingerprint}", token, "DELETE")
--- a/packages/cli/src/mountladder_cli/trying.py
+++ b/packages/cli/src/mountladder_cli/requestcommands.py
@@ -1,8 +1,8 @@
-# trying.py -- Commands that send requests
+# requestcommands.py -- Commands that send requests and run the demonstration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands that send requests."""
+"""Commands that send requests and run the demonstration."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 @click.option("--token", envvar="MOUNTLADDER_TOKEN", required=True, help="The team's token.")
 @click.option("--deadline-ms", type=float)
 @click.option("--key", default="", help="The Idempotency-Key.")
-@click.option("--issue-key", is_flag=True, help="Let the instance issue the key.")
+@click.option("--issue-key", is_flag=True, help="Have the instance issue the key.")
 @click.pass_obj
 def request(
     session: Session,
@@ -36,8 +36,8 @@
     key: str,
     issue_key: bool,
 ) -> None:
-    """Send a request and show its answer; the input is JSON, or text where it is not."""
-    whole = b""
+    """Send a request and print its answer; an INPUT_TEXT that is not JSON is sent as a string."""
+    tail = b""
     try:
         input_ = json.loads(input_text)
     except ValueError:
@@ -48,17 +48,17 @@
         stream = session.output == "text"
         for piece in porcelain.request(web, pipeline, token, input_, deadline_ms, key, stream):
             click.echo(piece, nl=False)
-            whole = (whole + piece)[-65_536:]
+            tail = (tail + piece)[-65_536:]
     except MountladderError as error:
         click.echo(f"error {error}", err=True)
         sys.exit(EXIT_FAILED)
-    if b"event: done" not in whole and b'"class":"done"' not in whole:
+    if b"event: done" not in tail and b'"class":"done"' not in tail:
         sys.exit(EXIT_FAILED)
 
 
 @click.command("demo")
 def demo() -> None:
-    """Run the whole system in this process on stand-ins and show what it does."""
+    """Run instances, a platform and backend servers in one process and check what they do."""
     sys.exit(demonstration.run())
 
 
--- a/packages/cli/src/mountladder_cli/standing_in.py
+++ b/packages/cli/src/mountladder_cli/standincommands.py
@@ -1,4 +1,4 @@
-# standing_in.py -- Commands that run stand-ins
+# standincommands.py -- Commands that run stand-ins
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -16,40 +16,40 @@
 from mountladder.clocks.systemclock import SystemClock
 from mountladder.configuration.document import Document
 from mountladder.errors import MountladderError
-from mountladder_cli.configuring import read_files
+from mountladder_cli.configurationcommands import read_files
 from mountladder_cli.session import EXIT_FAILED, flatten
 from mountladder_standins.listening import listen
-from mountladder_standins.platformface import platform_app
-from mountladder_standins.serverface import server_app
+from mountladder_standins.platformapp import platform_app
+from mountladder_standins.serverapp import server_app
 from mountladder_standins.speeds import Speeds
 from mountladder_standins.standinloader import StandinLoader
 from mountladder_standins.standinplatform import StandinPlatform
 from mountladder_standins.standinserver import StandinServer
 from mountladder_standins.weightstore import WeightStore
 
-OLD_FACTOR = 3.0
+OLD_ACCELERATOR_FACTOR = 3.0
 
 
 @click.group("standin")
 def standin() -> None:
-    """Run small stand-ins of the platform and of backend servers, for trying things out."""
+    """Run stand-ins of the platform and of backend servers, to try the system locally."""
 
 
 @standin.command("platform")
 @click.option("--listen", "address", default="127.0.0.1:8000")
-@click.option("--lag-ms", type=float, default=1_000.0, help="How late the instance list is.")
+@click.option("--lag-ms", type=float, default=1_000.0, help="Delay of the instance list.")
 def platform(address: str, lag_ms: float) -> None:
     """Run a stand-in of the table service, the object store and the instance list."""
     with ExitStack() as stack:
-        where = listen(platform_app(StandinPlatform(SystemClock(), lag_ms)), address, stack)
-        click.echo(f"platform on http://{where}")
+        bound_address = listen(platform_app(StandinPlatform(SystemClock(), lag_ms)), address, stack)
+        click.echo(f"platform on http://{bound_address}")
         Event().wait()
 
 
 @standin.command("servers")
 @click.option("-f", "--file", "path", required=True, type=click.Path(path_type=Path))
 def servers(path: Path) -> None:
-    """Run a stand-in of every backend server in a configuration file, at its address."""
+    """Run a stand-in of each backend server of a configuration file, at its address."""
     try:
         documents = read_files((path,))
     except* MountladderError as group:
@@ -72,8 +72,8 @@
 
 
 def speeds_of(server: Document) -> Speeds:
-    """Return how fast the stand-in of a server is, by its accelerator."""
-    factor = OLD_FACTOR if server.accelerator == "old" else 1.0
+    """Return the speeds of a server's stand-in, by the server's accelerator."""
+    factor = OLD_ACCELERATOR_FACTOR if server.accelerator == "old" else 1.0
     return Speeds(factor=factor, slots=server.slots)
 
 
--- a/packages/standins/src/mountladder_standins/faultrun.py
+++ b/packages/standins/src/mountladder_standins/faultrun.py
@@ -1,8 +1,8 @@
-# faultrun.py -- A randomised run under faults, with the promises checked
+# faultrun.py -- A randomised run under faults, with checks of the invariants
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A randomised run under faults, with the promises checked."""
+"""A randomised run under faults, with checks of the invariants."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 MEAN_CALL_MS = 60.0
 MEAN_FAULT_MS = 900.0
 MEAN_CHANGE_MS = 1_500.0
-REPEAT_SHARE = 0.4
-PUSH_SHARE = 0.4
-ISSUED_SHARE = 0.3
+REPEAT_FRACTION = 0.4
+PUSH_FRACTION = 0.4
+ISSUED_FRACTION = 0.3
 
 
 class FaultRun:
-    """Sends requests and changes to a fleet under faults, all drawn from one seed.
+    """Sends requests and configuration changes to a fleet under faults, all drawn from one seed.
 
     Args:
         seed: The seed.
@@ -48,9 +48,9 @@
         token: The token of its team.
 
     Attributes:
-        calls: Every call and what came of it.
+        calls: Every call with its outcome.
         accepted: The operation ids of accepted changes.
-        revisions: The revision in force on each instance in the end.
+        revisions: The revision in force on each instance at the end, by the instance's name.
     """
 
     def __init__(self, seed: int, documents: Sequence[Document], token: str) -> None:
@@ -66,24 +66,24 @@
         self.revisions: dict[str, int] = {}
         self.tasks: list[gevent.Greenlet] = []
         self.numbers = itertools.count(1)
-        self.start = self.fleet.start
+        self.start_instance = self.fleet.start
         self.fleet.start = self.start_watched
 
     def start_watched(self, name: str, datacentre: str):
-        """Start an instance and record its revisions."""
-        runtime = self.start(name, datacentre)
+        """Start an instance and record its configurations."""
+        runtime = self.start_instance(name, datacentre)
         self.timeline.watch(runtime)
         return runtime
 
     def run(self) -> list[Violation]:
-        """Run to the end and return every broken promise."""
-        self.play()
+        """Run to the end and return every violated invariant."""
+        self.run_unchecked()
         return list(self.check())
 
-    def play(self) -> None:
-        """Run to the end without checking anything."""
+    def run_unchecked(self) -> None:
+        """Run to the end without checking the invariants."""
         try:
-            self.clock.run(gevent.spawn(self.work))
+            self.clock.run(gevent.spawn(self.run_phases))
             self.revisions = {
                 name: runtime.follower.configuration.revision
                 for name, runtime in self.fleet.runtimes.items()
@@ -91,62 +91,67 @@
         finally:
             self.fleet.stop()
 
-    def work(self) -> None:
-        """Send the load under faults, mend everything, and wait until all has settled."""
-        self.fleet.append(self.documents)
+    def run_phases(self) -> None:
+        """Send requests and changes under faults, remove the faults, and wait for convergence."""
+        self.fleet.change_configuration(self.documents)
         for name in INSTANCES:
             self.fleet.start(name, name[0])
         self.fleet.wait_ready()
         self.clock.sleep(6_000.0)
         loops = [
-            gevent.spawn(self.repeat, self.send, MEAN_CALL_MS),
-            gevent.spawn(self.repeat, self.plan.step, MEAN_FAULT_MS),
-            gevent.spawn(self.repeat, self.change, MEAN_CHANGE_MS),
-            gevent.spawn(self.repeat, self.change, MEAN_CHANGE_MS),
+            gevent.spawn(self.call_randomly, self.send, MEAN_CALL_MS),
+            gevent.spawn(self.call_randomly, self.plan.step, MEAN_FAULT_MS),
+            gevent.spawn(self.call_randomly, self.change_configuration, MEAN_CHANGE_MS),
+            gevent.spawn(self.call_randomly, self.change_configuration, MEAN_CHANGE_MS),
         ]
         gevent.joinall(loops, raise_error=True)
-        self.plan.mend_all()
+        self.plan.repair_all()
         self.clock.sleep(SETTLE_MS)
         gevent.joinall(self.tasks)
 
-    def repeat(self, act, mean_ms: float) -> None:
-        """Do something at random times until the load ends."""
+    def call_randomly(self, action, mean_ms: float) -> None:
+        """Call a function with exponentially distributed gaps for LOAD_MS.
+
+        Args:
+            action: The function.
+            mean_ms: The mean gap between two calls.
+        """
         until = self.clock.now() + LOAD_MS
         while self.clock.now() < until:
             self.clock.sleep(self.rng.expovariate(1.0 / mean_ms))
-            act()
+            action()
 
     def send(self) -> None:
-        """Send one request, and perhaps repeats of it to other instances."""
+        """Send one request; some non-idempotent ones are sent again, to a random instance."""
         label = f"request-{next(self.numbers)}"
-        push = self.rng.random() < PUSH_SHARE
+        push = self.rng.random() < PUSH_FRACTION
         instances = sorted(self.fleet.runtimes)
         to = self.rng.choice(instances)
-        key = self.key_for(label, to) if push else ""
-        repeated = push and self.rng.random() < REPEAT_SHARE
+        key = self.choose_key(label, to) if push else ""
+        repeated = push and self.rng.random() < REPEAT_FRACTION
         self.spawn(label, "push" if push else "reply", key, to, first=not repeated)
         if repeated:
             other = self.rng.choice(instances)
-            self.tasks.append(gevent.spawn(self.send_later, label, key, other))
+            self.tasks.append(gevent.spawn(self.send_repeat, label, key, other))
 
-    def key_for(self, label: str, to: str) -> str:
-        """Return a key of the caller's own or one that an instance issues."""
-        if self.rng.random() < ISSUED_SHARE:
+    def choose_key(self, label: str, to: str) -> str:
+        """Return a key that the caller chose or that an instance issued."""
+        if self.rng.random() < ISSUED_FRACTION:
             return self.fleet.runtimes[to].idempotency.issue("desk")
         return label
 
-    def send_later(self, label: str, key: str, to: str) -> None:
-        """Repeat a request after a while."""
+    def send_repeat(self, label: str, key: str, to: str) -> None:
+        """Send a request again after a random delay, if the instance still runs."""
         self.clock.sleep(self.rng.uniform(0.0, 6_000.0))
         if to in self.fleet.runtimes:
             self.spawn(label, "push", key, to, first=False)
 
     def spawn(self, label: str, pipeline: str, key: str, to: str, first: bool) -> None:
-        """Send a request in a task of its own."""
+        """Send a request in its own task."""
         self.tasks.append(gevent.spawn(self.call, label, pipeline, key, to, first))
 
     def call(self, label: str, pipeline: str, key: str, to: str, first: bool) -> None:
-        """Send a request and record what came of it."""
+        """Send a request and record its outcome."""
         tokens = 6
         input_ = {"of": label, "tokens": tokens}
         started = self.clock.now()
@@ -170,22 +175,24 @@
         )
         self.calls.append(record)
 
-    def change(self) -> None:
-        """Let an operator make a change, in a race with the other one."""
+    def change_configuration(self) -> None:
+        """Make a change as an operator; two operators race with each other."""
         operation = f"change-{next(self.numbers)}"
         server = self.rng.choice([one for one in self.documents if one.kind == "server"])
         draining = self.rng.random() < 0.3
         try:
-            self.fleet.append([dataclasses.replace(server, draining=draining)], operation=operation)
+            self.fleet.change_configuration(
+                [dataclasses.replace(server, draining=draining)], operation=operation
+            )
         except MountladderError:
             return
         self.accepted.append(operation)
 
     def check(self) -> Iterator[Violation]:
-        """Yield every broken promise."""
+        """Yield every violated invariant."""
         ran = [one for server in self.fleet.servers.values() for one in server.ran]
         log = ChangeLog(self.fleet.standin.memory, self.fleet.standin.objects, self.clock)
-        changes = self.all_changes(log)
+        changes = self.read_changes(log)
         yield from invariants.answers_are_whole(self.calls)
         yield from invariants.calls_are_answered(self.calls)
         yield from invariants.not_run_did_not_run(self.calls, ran)
@@ -201,7 +208,7 @@
             if task.exception is not None:
                 yield Violation("no fault of our own", repr(task.exception))
 
-    def all_changes(self, log: ChangeLog) -> list:
+    def read_changes(self, log: ChangeLog) -> list:
         """Return every change of the log."""
         changes: list = []
         while page := log.since(len(changes)):
--- a/packages/standins/src/mountladder_standins/localfleet.py
+++ b/packages/standins/src/mountladder_standins/localfleet.py
@@ -1,8 +1,8 @@
-# localfleet.py -- A fleet of instances within one process
+# localfleet.py -- Entry instances, platform and backend servers in one process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A fleet of instances within one process."""
+"""Entry instances, platform and backend servers in one process."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 from mountladder_standins.standinplatform import StandinPlatform
 from mountladder_standins.standinserver import StandinServer
 
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 SECRET = "a secret for stand-ins only"
-_NUMBER = re.compile(rb"^id: (\d+)$", re.MULTILINE)
+_EVENT_ID = re.compile(rb"^id: (\d+)$", re.MULTILINE)
 
 
 class LocalFleet:
@@ -44,7 +44,7 @@
 
     Args:
         clock: The clock, virtual or real.
-        lag_ms: How late the platform's list of instances is.
+        lag_ms: The delay until the platform's list of instances shows a change.
 
     Attributes:
         servers: The stand-in backend servers by name.
@@ -63,7 +63,14 @@
     def start(
         self, name: str, datacentre: str, policy: Policy | None = None, **changes: object
     ) -> Runtime:
-        """Start an instance; the changes go into its settings."""
+        """Start an instance.
+
+        Args:
+            name: Its name.
+            datacentre: Its data centre.
+            policy: Its routing policy, or None for the default.
+            **changes: Settings that differ from the defaults.
+        """
         settings = Settings(
             name=name,
             datacentre=datacentre,
@@ -89,12 +96,12 @@
         return runtime
 
     def seeds(self, datacentre: str) -> tuple[str, ...]:
-        """Return addresses to start from, those of the same data centre first."""
+        """Return the peer addresses of up to MAX_SEEDS instances, the same data centre first."""
         ordered = sorted(self.runtimes.values(), key=lambda one: one.me.datacentre != datacentre)
-        return tuple(one.settings.peer for one in ordered[:MOST_SEEDS])
+        return tuple(one.settings.peer for one in ordered[:MAX_SEEDS])
 
     def kill(self, name: str) -> None:
-        """End an instance as a killed process ends: at once, and nothing is said to anybody."""
+        """Stop an instance like a killed process: at once, without any message to others."""
         runtime = self.runtimes.pop(name)
         runtime.platform.table.faults = Faults(down=True)
         runtime.platform.instances.faults = Faults(down=True)
@@ -103,26 +110,26 @@
         runtime.idempotency.tasks.kill()
         self.calls.pop(name).kill()
 
-    def cut_platform(self, name: str, faults: Faults) -> None:
-        """Set the faults that one instance meets at the platform."""
+    def set_platform_faults(self, name: str, faults: Faults) -> None:
+        """Set the faults of one instance's connection to the platform."""
         platform = self.runtimes[name].platform
         platform.table.faults = faults
         platform.objects.faults = faults
         platform.instances.faults = faults
 
-    def append(
+    def change_configuration(
         self, puts: Sequence[Document], deletes: Sequence[str] = (), operation: str = ""
     ) -> Configuration:
-        """Make a change of the configuration; start a stand-in of each new backend server."""
+        """Change the configuration and start a stand-in of each new backend server."""
         log = ChangeLog(self.standin.table, self.standin.objects, self.clock)
         base = log.load()
         for document in puts:
-            self.serve(document)
+            self.add_standin(document)
         name = operation or f"operation-{base.revision + 1}"
         return log.append(base, name, "operator", puts, deletes)
 
-    def serve(self, document: Document) -> None:
-        """Start a stand-in of a backend server that has none."""
+    def add_standin(self, document: Document) -> None:
+        """Start a stand-in if the document is a backend server that has none."""
         if isinstance(document, BackendServer) and document.name not in self.servers:
             factor = 3.0 if document.accelerator == "old" else 1.0
             speeds = Speeds(factor, document.slots)
@@ -133,12 +140,12 @@
         while not all(runtime.ready for runtime in self.runtimes.values()):
             self.clock.sleep(50.0)
 
-    def spawn(self, to: str, pipeline: str, token: str, input_: object, **more: object):
-        """Send a request in a task of its own and return the task; its value is an Outcome."""
+    def spawn(self, to: str, pipeline: str, token: str, input_: object, **options: object):
+        """Send a request in its own task and return the task; its value is an Outcome."""
         group = self.calls[to]
-        return group.spawn(self.ask, to, pipeline, token, input_, **more)
+        return group.spawn(self.send, to, pipeline, token, input_, **options)
 
-    def ask(
+    def send(
         self,
         to: str,
         pipeline: str,
@@ -152,7 +159,7 @@
         """Send a request to an instance and return what the caller gets."""
         runtime = self.runtimes[to]
         started = self.clock.now()
-        called = CallerRequest(
+        request = CallerRequest(
             pipeline,
             token,
             json.dumps(input_, separators=(",", ":")).encode(),
@@ -164,7 +171,7 @@
         )
         tokens: list[int] = []
         try:
-            answer = self.read(runtime, called, tokens)
+            answer = self.read_answer(runtime, request, tokens)
         except MountladderError as error:
             result, code, answer = error.result.value, error.code.number, {}
         else:
@@ -172,28 +179,33 @@
         took = self.clock.now() - started
         return Outcome(result, code, answer, tuple(tokens), took, to)
 
-    def read(self, runtime: Runtime, called: CallerRequest, tokens: list[int]) -> dict[str, object]:
-        """Read an answer to its end, adding the numbers of its tokens to a list."""
-        reply = runtime.gateway.serve(called)
+    def read_answer(
+        self, runtime: Runtime, request: CallerRequest, tokens: list[int]
+    ) -> dict[str, object]:
+        """Read an answer completely, adding the numbers of its tokens to a list."""
+        reply = runtime.gateway.serve(request)
         if reply.issued_key is not None:
-            return self.relay(runtime, called, reply)
+            return self.relay(runtime, request, reply)
         if reply.stored_answer is not None:
             return json.loads(reply.stored_answer)
         for chunk in reply.chunks:
-            tokens += [int(number) for number in _NUMBER.findall(chunk.events)]
+            tokens += [int(number) for number in _EVENT_ID.findall(chunk.events)]
         return json.loads(reply.answer())
 
-    def relay(self, runtime: Runtime, called: CallerRequest, reply: Reply) -> dict[str, object]:
-        """Ask the instance that issued a key, where it can be reached."""
-        for home in self.runtimes.values():
-            if home.me.incarnation == reply.issued_key.incarnation and self.network.reachable(
-                runtime.me, home.me
+    def relay(self, runtime: Runtime, request: CallerRequest, reply: Reply) -> dict[str, object]:
+        """Relay a request to the instance that issued its key.
+
+        If that instance cannot be reached, the stored answer of the receiving one is returned.
+        """
+        for issuer in self.runtimes.values():
+            if issuer.me.incarnation == reply.issued_key.incarnation and self.network.reachable(
+                runtime.me, issuer.me
             ):
-                return self.read(home, called, [])
+                return self.read_answer(issuer, request, [])
         return json.loads(runtime.idempotency.stored_answer(reply.request).replay)
 
-    def ran(self, work: str) -> list[str]:
-        """Return the attempts of a kind of work that were begun on all stand-ins."""
+    def attempts_of(self, work: str) -> list[str]:
+        """Return the ids of the attempts of a kind of work that all stand-ins began."""
         return [
             one.attempt
             for server in self.servers.values()
@@ -202,7 +214,7 @@
         ]
 
     def stop(self) -> None:
-        """End every instance and call."""
+        """Kill every instance and call."""
         for name in list(self.runtimes):
             self.kill(name)
         gevent.sleep(0)
--- a/packages/standins/src/mountladder_standins/weightstore.py
+++ b/packages/standins/src/mountladder_standins/weightstore.py
@@ -1,8 +1,8 @@
-# weightstore.py -- A stand-in of the rate-limited weight store
+# weightstore.py -- Stand-in of a weight store that limits concurrent downloads
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stand-in of the rate-limited weight store."""
+"""Stand-in of a weight store that limits concurrent downloads."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 
 
 class WeightStore:
-    """Hands out model weights, few at a time.
+    """Serves model weights, at most DOWNLOADS at once.
 
     Args:
         clock: The clock.
-        download_ms: How long one model takes.
+        download_ms: How long the download of one model takes.
 
     Attributes:
-        most: The most downloads that were asked for at once.
+        pending: How many downloads run or wait.
+        max_pending: The highest number of downloads that ran or waited at once.
     """
 
     def __init__(self, clock: Clock, download_ms: float = DOWNLOAD_MS) -> None:
         self.clock = clock
         self.download_ms = download_ms
-        self.room = BoundedSemaphore(DOWNLOADS)
-        self.asked = 0
-        self.most = 0
+        self.slots = BoundedSemaphore(DOWNLOADS)
+        self.pending = 0
+        self.max_pending = 0
 
     def download(self) -> None:
-        """Download one model."""
-        self.asked += 1
-        self.most = max(self.most, self.asked)
+        """Wait for a free download slot and download one model."""
+        self.pending += 1
+        self.max_pending = max(self.max_pending, self.pending)
         try:
-            with self.room:
+            with self.slots:
                 self.clock.sleep(self.download_ms)
         finally:
-            self.asked -= 1
+            self.pending -= 1
