--- a/features/entries.feature
+++ b/features/entries.feature
@@ -3,7 +3,7 @@
 
   Scenario Outline: An entry that cannot be read names no server
     When an entry of the bytes <bytes> is read
-    Then it names no server
+    Then it yields no server
 
     Examples:
       | bytes         |
@@ -16,8 +16,8 @@
       | null          |
 
   Scenario Outline: An entry with a field that no server writes names no server
-    When a server's entry is read, but for <field> as <value>
-    Then it names no server
+    When a server's entry is read with <field> as <value>
+    Then it yields no server
 
     Examples:
       | field             | value               |
@@ -55,8 +55,8 @@
       | born              | null                |
 
   Scenario Outline: An entry of a server names it, with its start where it tells it
-    When a server's entry is read, but for <field> as <value>
-    Then it names a server that is <state>, started at <born>
+    When a server's entry is read with <field> as <value>
+    Then it yields a server that is <state>, started at <born>
 
     Examples:
       | field             | value         | state    | born          |
@@ -67,19 +67,19 @@
       | models            | []            | in use   | 1700000000000 |
 
   Scenario: A row of the store whose bytes cannot be read does not hide the others
-    Given a store whose rows are a sound one, one of broken bytes, one of a number and a sound one
+    Given a store with four rows, the second with broken base64 and the third with a number
     When the table is read
-    Then it has 4 rows, of which 2 have bytes
+    Then it has 4 rows, 2 of them with bytes
 
   Scenario: A request names the id of its server, whatever its start
     Given a backend server that answers "whole", started at 1700000000123
     When request r1 is sent to it
-    Then the server is named by its id alone
+    Then the expected server is given by its id alone
 
   Scenario Outline: A row of an instance that no instance wrote does not hide the others
-    Given a list of instances whose second row of three has <field> as <value>
+    Given a list of three instances, the second with <field> as <value>
     When the list of instances is read
-    Then it names the first and the third instance
+    Then it holds the first and the third instance
 
     Examples:
       | field       | value    |
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -273,12 +273,12 @@
     Then the command ends with status 1
 
   Scenario: The store is asked while the rest of a process loads
-    Given a store that both tables are asked of
+    Given a store with both tables
     When a process loads the rest of its modules
-    Then both were asked before the last of them was loaded
-    And what they told is known without asking again
+    Then both tables were requested before the last module was loaded
+    And both are read without another request
 
   Scenario: A first question that was not answered is asked again
-    Given a store that both tables are asked of, and that refuses at first
+    Given a store with both tables that refuses the first reads
     When a process loads the rest of its modules
-    Then the first reading fails and the second one is answered
+    Then the first read of each fails and the second succeeds
--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,26 +1,29 @@
 @processes
-Feature: Separate processes, killed, paused and restarted
+Feature: Instances as processes that are killed, paused and restarted
+  # Faults that only separate processes show: lost memory and open connections of a killed instance,
+  # outdated revisions of a paused one, requests in flight during a rolling restart.
+
   Background:
     Given the platform, the backend servers and instances a-1 and b-1 as processes
 
   Scenario: An instance is killed while it runs a push
     Given the servers are 1500 ms slower
     When a push with key "k" is sent to process a-1 and a-1 is killed while it runs
-    Then a repeat with key "k" at b-1 is never run and ends as not known
+    Then a repeat with key "k" at b-1 is not run and has an unknown outcome
     And the stand-ins ran "push" 1 time
 
-  Scenario: An instance is paused and goes on with the newest revision
-    When process b-1 is stopped for a while
+  Scenario: A paused instance applies the newest revision after it continues
+    When process b-1 is paused
     And the command line drains desk-1
-    And process b-1 goes on
-    Then b-1 has revision 2 in force in the end
+    And process b-1 continues
+    Then b-1 has revision 2 in force eventually
 
-  Scenario: All instances are restarted one after another under load
-    When both processes are restarted one after another while requests are sent
-    Then every request was answered whole or told that it did not run
-    And at least 20 requests were answered whole
+  Scenario: All instances are restarted one after the other under load
+    When both processes are restarted one after the other under load
+    Then every request was answered completely or refused as not run
+    And at least 20 requests were answered completely
     And no process cut a request
 
-  Scenario: Bad settings end the process with status 2 and every fault
+  Scenario: A process with bad settings exits with status 2 and reports every error
     When mountladderd is started with bad settings
-    Then it ends with status 2 and names 7001 for 6 faults
+    Then it exits with status 2 and reports 7001 for 6 errors
--- a/features/rawanswers.py
+++ b/features/rawanswers.py
@@ -1,8 +1,8 @@
-# rawanswers.py -- Answers of backend servers as bytes
+# rawanswers.py -- Raw answers of backend servers, sound and malformed
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Answers of backend servers as bytes."""
+"""Raw answers of backend servers, sound and malformed."""
 
 SILENCE = object()
 CLOSED = object()
@@ -43,7 +43,9 @@
 
 RESULTS = listed(*GIVEN)
 
-# What is sent, and whether the connection ends behind it.
+# By name: the bytes of an answer, and what follows them: whether the connection is closed (False,
+# True), or RESET or LATER. SILENCE and CLOSED stand for no answer at all.
+# @ID is replaced by the id of the request.
 ANSWERS = {
     "whole": (answer(200, b"hello"), False),
     "whole and closing": (answer(200, b"hello", HEAD + b"Connection: close\r\n"), True),
--- a/features/steps/loading_steps.py
+++ b/features/steps/loading_steps.py
@@ -1,8 +1,8 @@
-# loading_steps.py -- Steps about how a process loads on the platform
+# loading_steps.py -- Steps about how a process reads the store while it loads its modules
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about how a process loads on the platform."""
+"""Steps about how a process reads the store while it loads its modules."""
 
 import time
 from types import SimpleNamespace
@@ -16,11 +16,11 @@
 from mountladder.clocks.systemclock import SystemClock
 from mountladder.errors import StoreUnavailableError
 
-# What a part takes that keeps the processor busy, as loading modules does.
+# How long each fake import keeps the processor busy, as the import of a module does.
 PART_SECONDS = 0.02
 
 
-@given("a store that both tables are asked of")
+@given("a store with both tables")
 def asked_store(context, refusals=0):
     context.asked = []
     app = bottle.Bottle()
@@ -35,7 +35,7 @@
     context.address = serve(context, app)
 
 
-@given("a store that both tables are asked of, and that refuses at first")
+@given("a store with both tables that refuses the first reads")
 def refusing_store(context):
     asked_store(context, refusals=2)
 
@@ -57,12 +57,12 @@
     context.stack.callback(context.startup.client.close)
 
 
-@then("both were asked before the last of them was loaded")
+@then("both tables were requested before the last module was loaded")
 def asked_before(context):
     assert context.asked_by[-1] == {"op", "servers"}, context.asked_by
 
 
-@then("what they told is known without asking again")
+@then("both are read without another request")
 def known(context):
     tables = (context.startup.catalogue, context.startup.servers)
     versions = {table.read().position.version for table in tables}
@@ -70,7 +70,7 @@
     assert len(context.asked) == 2, context.asked
 
 
-@then("the first reading fails and the second one is answered")
+@then("the first read of each fails and the second succeeds")
 def fails_first(context):
     for table in (context.startup.catalogue, context.startup.servers):
         try:
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -1,8 +1,8 @@
-# process_steps.py -- Steps that start, signal and end processes
+# process_steps.py -- Steps that start, signal and stop processes
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps that start, signal and end processes."""
+"""Steps that start, signal and stop processes."""
 
 import dataclasses
 import json
@@ -155,7 +155,7 @@
     assert task.value is None
 
 
-@then('a repeat with key "{key}" at b-1 is never run and ends as not known')
+@then('a repeat with key "{key}" at b-1 is not run and has an unknown outcome')
 def repeat_unknown(context, key):
     assert send(context, "b-1", "push", key)["class"] == "unknown"
 
@@ -165,12 +165,12 @@
     assert len(pushes(context)) == times
 
 
-@when("process {name} is stopped for a while")
+@when("process {name} is paused")
 def pause(context, name):
     context.processes[name].send_signal(signal.SIGSTOP)
 
 
-@when("process {name} goes on")
+@when("process {name} continues")
 def resume(context, name):
     context.processes[name].send_signal(signal.SIGCONT)
 
@@ -180,12 +180,12 @@
     operate(context, "drain", name)
 
 
-@then("{name} has revision {number:d} in force in the end")
+@then("{name} has revision {number:d} in force eventually")
 def in_force(context, name, number):
     eventually(lambda: revision(context, name) == number)
 
 
-@when("both processes are restarted one after another while requests are sent")
+@when("both processes are restarted one after the other under load")
 def restart_all(context):
     context.answers = []
     context.statuses = []
@@ -212,7 +212,7 @@
     gevent.joinall(tasks)
 
 
-@then("every request was answered whole or told that it did not run")
+@then("every request was answered completely or refused as not run")
 def none_lost(context):
     classes = {answer and answer["class"] for answer in context.answers}
     assert classes <= {"done", "not_run", None}, classes
@@ -220,7 +220,7 @@
     assert len(refused_at_once) <= 8, len(refused_at_once)
 
 
-@then("at least {number:d} requests were answered whole")
+@then("at least {number:d} requests were answered completely")
 def answered(context, number):
     assert sum(bool(one) and one["class"] == "done" for one in context.answers) >= number
 
@@ -238,7 +238,7 @@
     context.ended = subprocess.run(command, capture_output=True, text=True, timeout=PATIENCE_S)
 
 
-@then("it ends with status {status:d} and names {code:d} for {number:d} faults")
+@then("it exits with status {status:d} and reports {code:d} for {number:d} errors")
 def ended(context, status, code, number):
     assert context.ended.returncode == status, context.ended
     assert context.ended.stderr.count(str(code)) == number, context.ended.stderr
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,8 +1,8 @@
-# restart_steps.py -- Steps about servers that start again and entries of other writers
+# restart_steps.py -- Steps about restarted servers and malformed entries
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about servers that start again and entries of other writers."""
+"""Steps about restarted servers and malformed entries."""
 
 import base64
 import json
@@ -42,7 +42,7 @@
 
 
 def named(instance, id_):
-    """Return the server that an instance knows under an id."""
+    """Return the server that an instance lists under an id."""
     return instance.directory.records[id_].server
 
 
@@ -50,7 +50,7 @@
     return instance.router.state(named(instance, id_))
 
 
-@given("every instance has taken {first} and {second} out of use, since they said that they leave")
+@given("every instance avoids {first} and {second}, since they announced that they leave")
 def out_of_use(context, first, second):
     for instance in context.fleet.instances.values():
         for id_ in (first, second):
@@ -84,7 +84,7 @@
     return named(context.fleet.instances[name], id_).name.encode()
 
 
-@given("every instance knows that {id_} keeps parts of prompts, is slow and has results of 6 MB")
+@given("every instance records {id_} as slow, with cached prompt parts and 6 MB of results")
 def knows(context, id_):
     for instance in context.fleet.instances.values():
         server = named(instance, id_)
@@ -98,7 +98,7 @@
 
 
 def known(context, id_):
-    """Return what each instance knows of a server: kept tokens, slowness, bytes of results."""
+    """Return what each instance knows of a server: cached tokens, slowness, bytes of results."""
     now = context.clock.now()
     found = []
     for instance in context.fleet.instances.values():
@@ -108,12 +108,12 @@
     return found
 
 
-@then("no instance takes {id_} to keep any part, to be slow or to have results")
+@then("no instance records {id_} as slow, with cached prompt parts or results")
 def knows_nothing(context, id_):
     assert known(context, id_) == [(0, 1.0, 0.0)] * 3, known(context, id_)
 
 
-@then("every instance still knows this of {id_}")
+@then("every instance still has this state of {id_}")
 def still_knows(context, id_):
     for kept, slowness, room in known(context, id_):
         assert kept == 900 and slowness > 1.0 and room == RESULT_BYTES, (kept, slowness, room)
@@ -131,7 +131,7 @@
     context.server = listed_server("i-1", "desk", address, "a", 8, False, born)
 
 
-@then("the server is named by its id alone")
+@then("the expected server is given by its id alone")
 def id_alone(context):
     ((head, _),) = context.got
     assert b"Mountladder-Expect-Instance: i-1\r\n" in head + b"\r\n", head
@@ -150,25 +150,25 @@
 
 
 def written(table, field, value):
-    """Return a table as JSON bytes with a field missing, or as the JSON text that is given."""
+    """Return a table as JSON bytes, with a field left out or set to a JSON text."""
     changed = {name: one for name, one in table.items() if name != field}
     if value != "missing":
         changed[field] = "@"
-    # Put in as it is written, since JSON texts may hold what no Python value is written as.
+    # Inserted as text, since some JSON texts have no Python value that is encoded that way.
     return json.dumps(changed).replace('"@"', JSON_TEXTS.get(value, value)).encode()
 
 
-@when("a server's entry is read, but for {field} as {value}")
+@when("a server's entry is read with {field} as {value}")
 def read_entry(context, field, value):
     read(context, written(ENTRY, field, value))
 
 
-@then("it names no server")
+@then("it yields no server")
 def no_server(context):
     assert context.record is None, context.record
 
 
-@then("it names a server that is {word}, started at {born:d}")
+@then("it yields a server that is {word}, started at {born:d}")
 def a_server(context, word, born):
     record = context.record
     assert record is not None and record.born == born, record
@@ -181,7 +181,7 @@
 
 
 def answering(values):
-    """Return a client of the store that answers with a page of rows of these values."""
+    """Return a fake store client that answers with a page of rows of these values."""
     rows = [{"key": f"edge-{n}", "value": value, "ver": n} for n, value in enumerate(values, 1)]
     data = json.dumps({"rows": rows, "ver": 9}).encode()
     answer = SimpleNamespace(status=200, headers={}, data=data)
@@ -192,13 +192,13 @@
     return base64.b64encode(value).decode()
 
 
-@given("a store whose rows are a sound one, one of broken bytes, one of a number and a sound one")
+@given("a store with four rows, the second with broken base64 and the third with a number")
 def broken_rows(context):
     values = [packed(b"one"), "no base64!", 17, packed(b"4")]
     context.store_table = StoreTable(answering(values), "servers")
 
 
-@given("a list of instances whose second row of three has {field} as {value}")
+@given("a list of three instances, the second with {field} as {value}")
 def instance_rows(context, field, value):
     sound = packed(json.dumps(INSTANCE).encode())
     values = [sound, packed(written(INSTANCE, field, value)), sound]
@@ -210,7 +210,7 @@
     context.instances = context.list.instances()
 
 
-@then("it names the first and the third instance")
+@then("it holds the first and the third instance")
 def names_two(context):
     assert [one.name for one in context.instances] == ["edge-1", "edge-3"], context.instances
 
@@ -220,7 +220,7 @@
     context.page = context.store_table.read()
 
 
-@then("it has {number:d} rows, of which {sound:d} have bytes")
+@then("it has {number:d} rows, {sound:d} of them with bytes")
 def has_rows(context, number, sound):
     assert len(context.page.rows) == number, context.page
     assert sum(bool(one.value) for one in context.page.rows) == sound, context.page
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -30,7 +30,7 @@
 
 LENGTH_S = 20.0
 CALLERS = 12
-# Callers give up a request that an instance has not read after a second (the users' protocol).
+# How long the caller of a starting instance waits for an answer, as callers of the platform do.
 READ_S = 1.0
 RESTART = Fault(5.0, "restart", ("a-1",), 1.0)
 
@@ -96,7 +96,7 @@
     record.runs[one.id].append("desk-1")
 
 
-@given("a record of a soak in which all went well")
+@given("a record of a soak without violations")
 def good(context):
     record = context.record = Record()
     for number in range(40):
@@ -118,7 +118,7 @@
     context.record.runs["r1"].append("desk-2")
 
 
-@when("a stream that may not be resumed ran on two servers")
+@when("a stream that cannot be resumed ran on two servers")
 def stream_twice(context):
     context.record.runs["r2"].append("llm-2")
 
@@ -128,42 +128,42 @@
     add(context.record, exchange("x", status=503, retry_after_s=0.5))
 
 
-@when("a refusal does not say when to come back")
+@when("a refusal has no Retry-After")
 def says_nothing(context):
     context.record.exchanges["x"] = exchange("x", status=503)
 
 
-@when("an answer bears another request's body")
+@when("an answer has another request's body")
 def other_body(context):
     add(context.record, exchange("x", fault="body b'r1 by desk-1'"))
 
 
-@when("a server was sent a request that nobody sent")
+@when("a server got a request that no caller sent")
 def nobody(context):
     arrive(context.record, "forged", 3.0)
 
 
-@when("a server was sent a request for no team")
+@when("a server got a request without a team")
 def no_team(context):
     context.record.exchanges["x"] = exchange("x")
     arrive(context.record, "x", 3.0, team="")
 
 
-@when("a server was given results of another request")
+@when("a server got results of another request")
 def foreign_results(context):
     context.record.wrong.append("r1 was given 127.0.0.1:1/0x0x1-r2")
 
 
-@when("a known key was refused")
+@when("a valid key was refused")
 def key_refused(context):
     context.record.exchanges["x"] = exchange("x", status=401)
 
 
-@when("a process went back to an older configuration")
+@when("a process returned to an older configuration")
 def went_back(context):
     context.record.probes.append(Probe(6.0, "b-1", 1, 5))
     context.record.probes.append(Probe(7.5, "b-1", 1, 1))
-    # The instance is struck, so that being late is explained while going back is not.
+    # A fault of the instance excuses the late version, but not the rollback.
     context.faults.append(Fault(3.0, "store-silent", ("b-1",), 6.0))
 
 
@@ -199,13 +199,13 @@
         arrive(context.record, f"x{number}", 6.0 + number * 0.05, "desk-7")
 
 
-@when("a server that named a limit got more")
+@when("a server got more requests than its limit")
 def limit_exceeded(context):
     context.record.limits["desk-8"] = (2.0, 1.0)
     context.record.reached["desk-8"] += [7.0 + number * 0.2 for number in range(12)]
 
 
-@when("a server that told that it leaves got a request later")
+@when("a server got a request after it announced that it leaves")
 def leaving_used(context):
     context.faults[:] = [one for one in context.faults if one is not RESTART]
     add(context.record, exchange("told", "safe", sent=3.0))
@@ -216,14 +216,14 @@
     add(context.record, exchange("x", "safe", sent=8.0))
 
 
-@when("a stage server that told that it leaves got a call later")
+@when("a stage server got a call after it announced that it leaves")
 def leaving_called(context):
     context.faults.remove(RESTART)
     context.record.told_leaving.append((3.1, "enc-2", ""))
     context.record.reached["enc-2"] += [3.0, 12.0]
 
 
-@when("a server got three requests within a rest")
+@when("a server got three requests within a back-off")
 def rest_broken(context):
     context.faults[:] = [one for one in context.faults if one is not RESTART]
     add(context.record, exchange("told", "safe", sent=3.0))
@@ -232,25 +232,25 @@
         arrive(context.record, "told", 4.0 + number / 10, "desk-7")
 
 
-@when("a restart cut a request under way")
+@when("a restart cut a request in flight")
 def restart_cut(context):
     add(context.record, exchange("x", sent=4.9, ended=5.3, status=0))
 
 
-@when("a service got more repeats than the budget allows")
+@when("a service got more retries than the budget allows")
 def many_repeats(context):
     for number in range(80):
         arrive(context.record, f"r{4 * (number % 10)}", 9.0 + number / 100)
 
 
-@when("requests reached servers long after their callers left")
+@when("requests reached servers long after their callers disconnected")
 def after_left(context):
     context.faults.remove(RESTART)
     for number in range(5):
         add(context.record, exchange(f"x{number}", "safe", left=3.1, status=0), at=5.0)
 
 
-@when("a request that ended servers is sent on and on")
+@when("a request that crashed servers keeps reaching servers")
 def deadly_again(context):
     context.faults.clear()
     context.record.deadly_ends.extend((2.0, 3.0, 4.0))
@@ -258,16 +258,16 @@
         add(context.record, exchange(f"deadly{number}", "stream", status=502), at=9.0 + number)
 
 
-@when("nothing is served at the end")
+@when("no request is served at the end")
 def none_at_end(context):
     for id_, one in list(context.record.exchanges.items()):
         if one.sent > 17.0:
             context.record.exchanges[id_] = replace(one, status=0, read=False)
 
 
-@when("a process ended by itself")
+@when("a process exited unasked")
 def ended(context):
-    context.record.ends.append("a-1 ended with 1 at 3.00 s")
+    context.record.ends.append("a-1 exited with status 1 at 3.00 s")
 
 
 def start_alone(context, fault):
@@ -285,7 +285,7 @@
     context.caller.patience_s = READ_S
 
 
-@given("a store whose answers are slow, and an instance as a process")
+@given("a slow store, and an instance as a process")
 def slow_store(context):
     start_alone(context, "slow")
 
@@ -306,14 +306,14 @@
                 gevent.sleep(0.005)
 
 
-@when("a request for a route that there is comes as soon as its socket listens")
+@when("a request for a known route arrives as soon as its socket listens")
 def early_request(context):
     wait_until_listening(context)
     context.caller.send("early", "safe")
     context.exchange = context.caller.record.exchanges["early"]
 
 
-@when("it is asked to reload as soon as its socket listens")
+@when("it gets a reload signal as soon as its socket listens")
 def early_reload(context):
     wait_until_listening(context)
     context.instance.send(signal.SIGHUP)
@@ -324,7 +324,7 @@
     assert context.exchange.status == status, context.exchange
 
 
-@then("it is answered with {status:d} and says when to come back")
+@then("it is answered with {status:d} and a Retry-After")
 def answered_later(context, status):
     assert context.exchange.status == status, context.exchange
     assert context.exchange.retry_after_s > 0
@@ -345,13 +345,13 @@
     context.children = [int(one) for one in children.read_text().split()]
 
 
-@when("it is asked to end")
+@when("the soak is terminated")
 def end_soak(context):
     context.soak.terminate()
     context.soak.wait(20.0)
 
 
-@then("none of its instances runs any more")
+@then("none of its instances is running")
 def none_runs(context):
     for child in context.children:
         command = Path(f"/proc/{child}/cmdline")
--- a/features/suspension.feature
+++ b/features/suspension.feature
@@ -1,51 +1,51 @@
-Feature: Machines that are suspended
-  # While a machine is suspended its steady clock stands still, and timers with it; the clock since
-  # its start goes on. Whatever has an age was too young by the whole suspension, and an instance
-  # that woke acted on it: entries, leases, deadlines, kept connections.
+Feature: Suspended machines
+  # The monotonic clock of a suspended machine stops, and timers with it; the boot-time clock goes
+  # on. On the monotonic clock entries, leases, deadlines and idle connections looked too young by
+  # the whole suspension, and an instance acted on them after it resumed.
 
   Scenario: Time goes on while the machine is suspended
     Given a clock of a machine
     When the machine is suspended for 7000 ms
-    Then 7000 ms have gone by on the clock
+    Then 7000 ms have passed on the clock
 
-  Scenario Outline: What came due in a suspension happens at once
+  Scenario Outline: A timer that expired during a suspension fires at once
     Given a clock of a machine
-    And <wait> for <ms> ms
+    And <wait> <ms> ms
     When the machine is suspended for 7000 ms
-    And anything reads the clock
+    And the clock is read
     Then it has <outcome> within 500 ms
 
     Examples:
-      | wait                 | ms    | outcome |
-      | a call that waits    | 6000  | ended   |
-      | a task that sleeps   | 6000  | ended   |
-      | a limit that runs    | 6000  | ended   |
-      | a wait for an event  | 6000  | ended   |
-      | a call that waits    | 60000 | not     |
-      | a task that sleeps   | 60000 | not     |
+      | wait                      | ms    | outcome     |
+      | a scheduled call due in   | 6000  | expired     |
+      | a task that sleeps for    | 6000  | expired     |
+      | a timeout of              | 6000  | expired     |
+      | a wait for an event up to | 6000  | expired     |
+      | a scheduled call due in   | 60000 | not expired |
+      | a task that sleeps for    | 60000 | not expired |
 
-  Scenario: What comes due later comes by the time that is left
+  Scenario: A timer that expires after a suspension waits for the remaining time only
     Given a clock of a machine
-    And a call that waits for 7100 ms
+    And a scheduled call due in 7100 ms
     When the machine is suspended for 7000 ms
-    And anything reads the clock
-    Then it has ended within 500 ms
+    And the clock is read
+    Then it has expired within 500 ms
 
-  Scenario: A call that is withdrawn is not made after a suspension
+  Scenario: A cancelled call is not made after a suspension
     Given a clock of a machine
-    And a call that waits for 6000 ms
-    When the call is withdrawn
+    And a scheduled call due in 6000 ms
+    When the call is cancelled
     And the machine is suspended for 7000 ms
-    And anything reads the clock
-    Then it has not within 300 ms
+    And the clock is read
+    Then it has not expired within 300 ms
 
-  Scenario: An instance that was suspended does not act on what it knew before
-    Given a forwarding instance on a clock of a machine, fed by a store
+  Scenario: An instance does not trust its catalogue from before a suspension
+    Given a forwarding instance on a clock of a machine, with a catalogue from the store
     When the machine is suspended for 7000 ms
     Then its catalogue is 7000 ms old
-    And a route that it does not know is refused with code 2004
+    And an unknown route is refused with code 2004
 
-  Scenario: The reading of a machine that was never suspended costs little
+  Scenario: Reading the clock is cheap on a machine that was never suspended
     Given a clock of a machine
     When the clock is read 20000 times
     Then each reading took at most 20 microseconds
