--- a/features/rawanswers.py
+++ b/features/rawanswers.py
@@ -9,7 +9,7 @@
 RESET = "reset"
 LATER = "later"
 HEAD = b"Mountladder-Request-Id: @ID\r\nMountladder-Server-Stamp: s\r\n"
-MARK = b"Mountladder-Not-Executed: 1\r\n"
+NOT_EXECUTED = b"Mountladder-Not-Executed: 1\r\n"
 
 
 def answer(status, body=b"", head=HEAD, length=True):
@@ -20,10 +20,10 @@
 
 
 def results(*items):
-    return answer(200, listed(*items))
+    return answer(200, items_body(*items))
 
 
-def listed(*items):
+def items_body(*items):
     return b'{"items": [%b]}' % b", ".join(items)
 
 
@@ -31,7 +31,7 @@
     return b"Server-Limit: %b\r\n" % per_s
 
 
-def rest(seconds, mark=MARK):
+def backoff(seconds, mark=NOT_EXECUTED):
     return mark + b"Retry-After: %b\r\n" % seconds
 
 
@@ -39,9 +39,9 @@
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n"
 CHUNKS = b"2\r\nhe\r\n3\r\nllo\r\n"
 NOT_ITS_ID = b"Mountladder-Request-Id: zz\r\n"
-GIVEN = (b'{"handle": "10.0.0.1:1/a"}', b'{"reason": "gone"}', b'{"reason": "room"}')
+ITEMS = (b'{"handle": "10.0.0.1:1/a"}', b'{"reason": "gone"}', b'{"reason": "room"}')
 
-RESULTS = listed(*GIVEN)
+RESULTS = items_body(*ITEMS)
 
 # By name: the bytes of an answer, and what follows them: whether the connection is closed (False,
 # True), or RESET or LATER. SILENCE and CLOSED stand for no answer at all.
@@ -54,10 +54,10 @@
     "own failure": (answer(500, b"broken"), False),
     "another id": (answer(200, b"hello", NOT_ITS_ID), False),
     "no id": (answer(200, b"hello", b""), False),
-    "full, not run": (answer(503, b"", MARK), False),
-    "leaving, not run": (answer(503, b"", MARK + b"Connection: close\r\n"), True),
+    "full, not run": (answer(503, b"", NOT_EXECUTED), False),
+    "leaving, not run": (answer(503, b"", NOT_EXECUTED + b"Connection: close\r\n"), True),
     "replaced": (answer(421, b"", b""), False),
-    "inputs gone, not run": (answer(409, b"", MARK), False),
+    "inputs gone, not run": (answer(409, b"", NOT_EXECUTED), False),
     "503 without a mark": (answer(503, b"x"), False),
     "429 without a mark": (answer(429, b"x"), False),
     "408 without a mark": (answer(408, b"x"), False),
@@ -70,42 +70,42 @@
     "silence": SILENCE,
     "extra bytes at once": (answer(200, b"hello") + answer(200, b"extra"), False),
     "extra bytes later": (answer(200, b"hello"), LATER),
-    "results": (results(*GIVEN), False),
-    "too few results": (results(*GIVEN[:2]), False),
+    "results": (results(*ITEMS), False),
+    "too few results": (results(*ITEMS[:2]), False),
     "no results": (answer(200, b"{}"), False),
     "limited": (answer(200, b"hello", HEAD + limited(b"1.5")), False),
     "limited, own failure": (answer(500, b"broken", HEAD + limited(b"2")), False),
-    "limited, full": (answer(503, b"", MARK + limited(b"0.3")), False),
+    "limited, full": (answer(503, b"", NOT_EXECUTED + limited(b"0.3")), False),
     "limited results": (answer(200, RESULTS, limited(b"4")), False),
-    "limited results full": (answer(503, b"", MARK + limited(b"0.5")), False),
+    "limited results full": (answer(503, b"", NOT_EXECUTED + limited(b"0.5")), False),
     "limited, replaced": (answer(421, b"", limited(b"1")), False),
     "limited, another id": (answer(200, b"x", NOT_ITS_ID + limited(b"1")), False),
     "limited in words": (answer(200, b"hello", HEAD + limited(b"few")), False),
     "limited to less than none": (answer(200, b"hello", HEAD + limited(b"-1")), False),
     "limited to no number": (answer(200, b"hello", HEAD + limited(b"nan")), False),
-    "results full": (answer(503, b"", MARK), False),
+    "results full": (answer(503, b"", NOT_EXECUTED), False),
     "leaving": (answer(200, b"hello", HEAD + LEAVING), False),
     "leaving, own failure": (answer(500, b"broken", HEAD + LEAVING), False),
-    "leaving, full": (answer(503, b"", MARK + LEAVING), False),
+    "leaving, full": (answer(503, b"", NOT_EXECUTED + LEAVING), False),
     "leaving, 503 without a mark": (answer(503, b"x", HEAD + LEAVING), False),
     "leaving stream": (answer(200, CHUNKS + b"0\r\n\r\n", CHUNKED + LEAVING, False), False),
     "leaving results": (answer(200, RESULTS, LEAVING), False),
-    "leaving results full": (answer(503, b"", MARK + LEAVING), False),
+    "leaving results full": (answer(503, b"", NOT_EXECUTED + LEAVING), False),
     "leaving, replaced": (answer(421, b"", LEAVING), False),
     "leaving, another id": (answer(200, b"x", NOT_ITS_ID + LEAVING), False),
     "leaving in words": (answer(200, b"hello", HEAD + b"Server-Leaving: soon\r\n"), False),
-    "rest of 3 s": (answer(503, b"", rest(b"3")), False),
-    "rest of 0.25 s": (answer(503, b"", rest(b"0.25")), False),
-    "rest with 429": (answer(429, b"", rest(b"2")), False),
-    "rest without a mark": (answer(503, b"x", rest(b"2", HEAD)), False),
-    "rest of results": (answer(503, b"", rest(b"1.5")), False),
-    "rest of a day": (answer(503, b"", rest(b"86400")), False),
-    "rest of 0 s": (answer(503, b"", rest(b"0")), False),
-    "rest of less than 0 s": (answer(503, b"", rest(b"-3")), False),
-    "rest of nan s": (answer(503, b"", rest(b"nan")), False),
-    "rest of inf s": (answer(503, b"", rest(b"inf")), False),
-    "rest up to a date": (answer(503, b"", rest(b"Thu, 03 Dec 2026 10:00:00 GMT")), False),
-    "rest with an answer": (answer(200, b"hello", rest(b"3", HEAD)), False),
-    "rest, replaced": (answer(421, b"", rest(b"3")), False),
-    "rest, another id": (answer(503, b"x", rest(b"3", NOT_ITS_ID)), False),
+    "rest of 3 s": (answer(503, b"", backoff(b"3")), False),
+    "rest of 0.25 s": (answer(503, b"", backoff(b"0.25")), False),
+    "rest with 429": (answer(429, b"", backoff(b"2")), False),
+    "rest without a mark": (answer(503, b"x", backoff(b"2", HEAD)), False),
+    "rest of results": (answer(503, b"", backoff(b"1.5")), False),
+    "rest of a day": (answer(503, b"", backoff(b"86400")), False),
+    "rest of 0 s": (answer(503, b"", backoff(b"0")), False),
+    "rest of less than 0 s": (answer(503, b"", backoff(b"-3")), False),
+    "rest of nan s": (answer(503, b"", backoff(b"nan")), False),
+    "rest of inf s": (answer(503, b"", backoff(b"inf")), False),
+    "rest up to a date": (answer(503, b"", backoff(b"Thu, 03 Dec 2026 10:00:00 GMT")), False),
+    "rest with an answer": (answer(200, b"hello", backoff(b"3", HEAD)), False),
+    "rest, replaced": (answer(421, b"", backoff(b"3")), False),
+    "rest, another id": (answer(503, b"x", backoff(b"3", NOT_ITS_ID)), False),
 }
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -24,31 +24,31 @@
     Then only <check> is broken
 
     Examples:
-      | fault                                                          | check              |
-      | an unsafe request ran on two servers                           | at_most_once       |
-      | a stream that cannot be resumed ran on two servers             | at_most_once       |
-      | an unsafe request that ran was refused                         | true_refusals      |
-      | a refusal has no Retry-After                                   | says_when          |
-      | an answer has another request's body                           | whole_answers      |
-      | a server got a request that no caller sent                     | asked_for          |
-      | a server got a request without a team                          | asked_for          |
-      | a server got results of another request                        | asked_for          |
-      | a valid key was refused                                        | never_denied       |
-      | a process returned to an older configuration                   | never_back         |
-      | an instance has an old configuration long after a change       | in_force           |
-      | a draining server got a request much later                     | drained_left_alone |
-      | a server of a drained data centre got a request                | emptied_left_alone |
-      | a cold server got many requests in a second                    | cold_spared        |
-      | a server got more requests than its limit                      | limits_kept        |
-      | a server got a request after it announced that it leaves       | leaving_left_alone |
-      | a stage server got a call after it announced that it leaves    | leaving_left_alone |
-      | a server got three requests within a back-off                  | rests_kept         |
-      | a restart cut a request in flight                              | planned_restarts   |
-      | a service got more retries than the budget allows              | retry_budget       |
-      | requests reached servers long after their callers disconnected | gone_is_gone       |
-      | a request that crashed servers keeps reaching servers          | deadly_kept_away   |
-      | no request is served at the end                                | recovers           |
-      | a process exited unasked                                       | no_ends            |
+      | fault                                                          | check                     |
+      | an unsafe request ran on two servers                           | at_most_once              |
+      | a stream that cannot be resumed ran on two servers             | at_most_once              |
+      | an unsafe request that ran was refused                         | refused_not_run           |
+      | a refusal has no Retry-After                                   | retry_after_given         |
+      | an answer has another request's body                           | complete_answers          |
+      | a server got a request that no caller sent                     | only_callers_requests     |
+      | a server got a request without a team                          | only_callers_requests     |
+      | a server got results of another request                        | only_callers_requests     |
+      | a valid key was refused                                        | valid_requests_accepted   |
+      | a process returned to an older configuration                   | no_version_rollback       |
+      | an instance has an old configuration long after a change       | version_applied_in_time   |
+      | a draining server got a request much later                     | draining_server_unused    |
+      | a server of a drained data centre got a request                | drained_datacentre_unused |
+      | a cold server got many requests in a second                    | cold_rate_kept            |
+      | a server got more requests than its limit                      | limits_kept               |
+      | a server got a request after it announced that it leaves       | leaving_server_unused     |
+      | a stage server got a call after it announced that it leaves    | leaving_server_unused     |
+      | a server got three requests within a back-off                  | backoff_kept              |
+      | a restart cut a request in flight                              | restarts_cut_nothing      |
+      | a service got more retries than the budget allows              | retry_budget              |
+      | requests reached servers long after their callers disconnected | abandoned_not_forwarded   |
+      | a request that crashed servers keeps reaching servers          | deadly_quarantined        |
+      | no request is served at the end                                | service_recovers          |
+      | a process exited unasked                                       | no_unplanned_exits        |
 
   Scenario Outline: A violation that a fault explains is excused
     Given a record of a soak without violations
--- a/features/steps/loading_steps.py
+++ b/features/steps/loading_steps.py
@@ -17,49 +17,49 @@
 from mountladder.errors import StoreUnavailableError
 
 # How long each fake import keeps the processor busy, as the import of a module does.
-PART_SECONDS = 0.02
+IMPORT_S = 0.02
 
 
 @given("a store with both tables")
-def asked_store(context, refusals=0):
-    context.asked = []
+def store_with_tables(context, refusals=0):
+    context.requested = []
     app = bottle.Bottle()
 
     @app.get("/mountladder/rows-get")
     def get():
-        context.asked.append(bottle.request.query.table)
-        if len(context.asked) <= refusals:
+        context.requested.append(bottle.request.query.table)
+        if len(context.requested) <= refusals:
             raise bottle.HTTPResponse(status=503)
-        return {"rows": [], "ver": len(context.asked), "more_pages": False}
+        return {"rows": [], "ver": len(context.requested), "more_pages": False}
 
     context.address = serve(context, app)
 
 
 @given("a store with both tables that refuses the first reads")
 def refusing_store(context):
-    asked_store(context, refusals=2)
+    store_with_tables(context, refusals=2)
 
 
 @when("a process loads the rest of its modules")
 def loads(context):
-    context.asked_by = []
+    context.requested_by_import = []
 
-    def load_part(name):
-        until = time.perf_counter() + PART_SECONDS
+    def fake_import(name):
+        until = time.perf_counter() + IMPORT_S
         while time.perf_counter() < until:
             pass
-        context.asked_by.append(set(context.asked))
+        context.requested_by_import.append(set(context.requested))
 
     clock = SystemClock()
     settings = SimpleNamespace(store=context.address)
-    with mock.patch.object(loading.importlib, "import_module", load_part):
+    with mock.patch.object(loading.importlib, "import_module", fake_import):
         context.startup = loading.load(settings, clock, clock.now(), None, None)
     context.stack.callback(context.startup.client.close)
 
 
 @then("both tables were requested before the last module was loaded")
-def asked_before(context):
-    assert context.asked_by[-1] == {"op", "servers"}, context.asked_by
+def requested_before(context):
+    assert context.requested_by_import[-1] == {"op", "servers"}, context.requested_by_import
 
 
 @then("both are read without another request")
@@ -67,7 +67,7 @@
     tables = (context.startup.catalogue, context.startup.servers)
     versions = {table.read().position.version for table in tables}
     assert versions == {1, 2}, versions
-    assert len(context.asked) == 2, context.asked
+    assert len(context.requested) == 2, context.requested
 
 
 @then("the first read of each fails and the second succeeds")
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -20,7 +20,7 @@
 from mountladder_standins.listening import free_address
 
 BIN = Path(sys.executable).parent
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 POOL = urllib3.PoolManager(maxsize=16, retries=False)
 SETTINGS = """
 name = "{name}"
@@ -32,7 +32,7 @@
 heartbeat_ms = 100
 poll_ms = 100
 """
-BAD = 'name = 1\ndatacentre = ""\nweb = "x"\npeer = "y"\nplatform = "z"\nsecret = "s"\n'
+BAD_SETTINGS = 'name = 1\ndatacentre = ""\nweb = "x"\npeer = "y"\nplatform = "z"\nsecret = "s"\n'
 
 
 def toml(document):
@@ -42,20 +42,20 @@
             inner = ", ".join(f'{name} = "{one}"' for name, one in value.items())
             lines.append(f"{key} = {{ {inner} }}")
         else:
-            shown = list(value) if isinstance(value, tuple) else value
-            lines.append(f"{key} = {json.dumps(shown)}")
+            encoded = list(value) if isinstance(value, tuple) else value
+            lines.append(f"{key} = {json.dumps(encoded)}")
     return "\n".join(lines) + "\n"
 
 
 def start(context, name, *arguments):
     log = context.stack.enter_context((context.folder / f"{name}.log").open("ab"))
     process = subprocess.Popen([str(BIN / arguments[0]), *arguments[1:]], stdout=log, stderr=log)
-    context.stack.callback(end, process)
+    context.stack.callback(stop, process)
     context.processes[name] = process
     return process
 
 
-def end(process):
+def stop(process):
     if process.poll() is None:
         process.send_signal(signal.SIGCONT)
         process.kill()
@@ -66,15 +66,15 @@
     start(context, name, "mountladderd", str(context.folder / f"{name}.toml"))
 
 
-def eventually(holds):
-    with gevent.Timeout(PATIENCE_S):
+def wait_until(holds):
+    with gevent.Timeout(TIMEOUT_S):
         while not holds():
             gevent.sleep(0.05)
 
 
 def call(method, url, **more):
     try:
-        return POOL.request(method, url, timeout=PATIENCE_S, **more)
+        return POOL.request(method, url, timeout=TIMEOUT_S, **more)
     except urllib3.exceptions.HTTPError:
         return None
 
@@ -104,16 +104,16 @@
         )
         (context.folder / f"{name}.toml").write_text(text + f"seeds = {json.dumps(peers)}\n")
         start_instance(context, name)
-    eventually(lambda: call("GET", f"{context.platform}/counts") is not None)
+    wait_until(lambda: call("GET", f"{context.platform}/counts") is not None)
     operate(context, "apply", "-f", str(path))
-    eventually(lambda: all(revision(context, name) >= 1 for name in context.web))
-    eventually(lambda: all(is_ready(context, name) for name in context.web))
-    eventually(lambda: all(ran(context, name) is not None for name in context.servers))
+    wait_until(lambda: all(revision(context, name) >= 1 for name in context.web))
+    wait_until(lambda: all(is_ready(context, name) for name in context.web))
+    wait_until(lambda: all(stage_runs(context, name) is not None for name in context.servers))
 
 
 def operate(context, *arguments):
     command = [str(BIN / "mountladder"), "--platform", context.platform, *arguments]
-    subprocess.run(command, check=True, capture_output=True, timeout=PATIENCE_S)
+    subprocess.run(command, check=True, capture_output=True, timeout=TIMEOUT_S)
 
 
 def revision(context, name):
@@ -121,7 +121,7 @@
     return -1 if response is None else json.loads(response.data)["revision"]
 
 
-def ran(context, name):
+def stage_runs(context, name):
     response = call("GET", f"http://{context.servers[name]}/ran")
     return None if response is None else json.loads(response.data)["ran"]
 
@@ -141,15 +141,15 @@
     return None if response is None else json.loads(response.data)
 
 
-def pushes(context):
-    both = (ran(context, "desk-1"), ran(context, "desk-2"))
+def push_runs(context):
+    both = (stage_runs(context, "desk-1"), stage_runs(context, "desk-2"))
     return [one for rows in both for one in rows if one["work"] == "push"]
 
 
 @when('a push with key "{key}" is sent to process a-1 and a-1 is killed while it runs')
 def kill_during(context, key):
     task = gevent.spawn(send, context, "a-1", "push", key)
-    eventually(lambda: pushes(context))
+    wait_until(lambda: push_runs(context))
     context.processes["a-1"].kill()
     task.join()
     assert task.value is None
@@ -162,7 +162,7 @@
 
 @then('the stand-ins ran "push" {times:d} time')
 def ran_times(context, times):
-    assert len(pushes(context)) == times
+    assert len(push_runs(context)) == times
 
 
 @when("process {name} is paused")
@@ -182,7 +182,7 @@
 
 @then("{name} has revision {number:d} in force eventually")
 def in_force(context, name, number):
-    eventually(lambda: revision(context, name) == number)
+    wait_until(lambda: revision(context, name) == number)
 
 
 @when("both processes are restarted one after the other under load")
@@ -198,22 +198,22 @@
                 context.answers.append(send(context, ready[0], "reply"))
 
     tasks = [gevent.spawn(load) for _ in range(4)]
-    eventually(lambda: len(context.answers) >= 10)
+    wait_until(lambda: len(context.answers) >= 10)
     for name in context.web:
         process = context.processes[name]
         process.terminate()
-        eventually(lambda one=process: one.poll() is not None)
+        wait_until(lambda one=process: one.poll() is not None)
         context.statuses.append(process.returncode)
         start_instance(context, name)
-        eventually(lambda one=name: is_ready(context, one))
+        wait_until(lambda one=name: is_ready(context, one))
     before = len(context.answers)
-    eventually(lambda: len(context.answers) >= before + 20)
+    wait_until(lambda: len(context.answers) >= before + 20)
     running = False
     gevent.joinall(tasks)
 
 
 @then("every request was answered completely or refused as not run")
-def none_lost(context):
+def no_outcome_unknown(context):
     classes = {answer and answer["class"] for answer in context.answers}
     assert classes <= {"done", "not_run", None}, classes
     refused_at_once = [answer for answer in context.answers if answer is None]
@@ -233,9 +233,9 @@
 @when("mountladderd is started with bad settings")
 def bad_settings(context):
     path = context.folder / "bad.toml"
-    path.write_text(BAD)
+    path.write_text(BAD_SETTINGS)
     command = [str(BIN / "mountladderd"), str(path)]
-    context.ended = subprocess.run(command, capture_output=True, text=True, timeout=PATIENCE_S)
+    context.ended = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
 
 
 @then("it exits with status {status:d} and reports {code:d} for {number:d} errors")
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -24,7 +24,7 @@
 SHARED = Prompt(1_000, 10, (PromptPart("shared", 900), PromptPart("own", 100)))
 RESULT_BYTES = 6_000_000.0
 JSON_TEXTS = {"400 digits": "9" * 400}
-LATER = 1_700_000_000_123
+LATER_START = 1_700_000_000_123
 DEEP = "[" * 100_000
 BYTES = {"\\xff\\xfe\\x00": b"\xff\xfe\x00", "nothing": b"", "deeply nested": DEEP.encode()}
 INSTANCE = {"incarnation": "x", "datacentre": "a", "peer": "10.1.0.1:7", "cores": 1.0, "since": 9}
@@ -41,13 +41,13 @@
 }
 
 
-def named(instance, id_):
+def listed(instance, id_):
     """Return the server that an instance lists under an id."""
     return instance.directory.records[id_].server
 
 
 def state(instance, id_):
-    return instance.router.state(named(instance, id_))
+    return instance.router.state(listed(instance, id_))
 
 
 @given("every instance avoids {first} and {second}, since they announced that they leave")
@@ -64,7 +64,7 @@
 
 @when("server {id_} is listed with a later start")
 def later_start(context, id_):
-    list_again(context, id_, LATER)
+    list_again(context, id_, LATER_START)
 
 
 @when("server {id_} is listed again with the same start")
@@ -77,17 +77,17 @@
     for name in context.fleet.instances:
         sent = request(f"to {name}", PATHS["safe"], context.clock.now())
         context.run(serve, context, name, sent)
-        assert context.ends[sent.id][:2] == (200, named_body(context, name, id_)), context.ends
+        assert context.ends[sent.id][:2] == (200, expected_body(context, name, id_)), context.ends
 
 
-def named_body(context, name, id_):
-    return named(context.fleet.instances[name], id_).name.encode()
+def expected_body(context, name, id_):
+    return listed(context.fleet.instances[name], id_).name.encode()
 
 
 @given("every instance records {id_} as slow, with cached prompt parts and 6 MB of results")
-def knows(context, id_):
+def records_state(context, id_):
     for instance in context.fleet.instances.values():
-        server = named(instance, id_)
+        server = listed(instance, id_)
         placement(instance).record_start(server.name, SHARED, 0)
         state(instance, id_).record_time_ratio(4.0, context.clock.now())
         instance.dispatch.batcher("enc").result_memory.reserve(server.name, RESULT_BYTES)
@@ -97,31 +97,37 @@
     return desk_of(instance).placement
 
 
-def known(context, id_):
-    """Return what each instance knows of a server: cached tokens, slowness, bytes of results."""
+def recorded_state(context, id_):
+    """Return each instance's state of a server: cached tokens, slowness, bytes of results."""
     now = context.clock.now()
     found = []
     for instance in context.fleet.instances.values():
         one = state(instance, id_)
-        room = instance.dispatch.batcher("enc").result_memory.used_bytes(one.server.name, now)
-        found.append((placement(instance).cached_tokens(one, SHARED), one.slowness, room))
+        result_bytes = instance.dispatch.batcher("enc").result_memory.used_bytes(
+            one.server.name, now
+        )
+        found.append((placement(instance).cached_tokens(one, SHARED), one.slowness, result_bytes))
     return found
 
 
 @then("no instance records {id_} as slow, with cached prompt parts or results")
-def knows_nothing(context, id_):
-    assert known(context, id_) == [(0, 1.0, 0.0)] * 3, known(context, id_)
+def no_state_recorded(context, id_):
+    assert recorded_state(context, id_) == [(0, 1.0, 0.0)] * 3, recorded_state(context, id_)
 
 
 @then("every instance still has this state of {id_}")
-def still_knows(context, id_):
-    for kept, slowness, room in known(context, id_):
-        assert kept == 900 and slowness > 1.0 and room == RESULT_BYTES, (kept, slowness, room)
+def still_records_state(context, id_):
+    for cached, slowness, result_bytes in recorded_state(context, id_):
+        assert cached == 900 and slowness > 1.0 and result_bytes == RESULT_BYTES, (
+            cached,
+            slowness,
+            result_bytes,
+        )
 
 
 @then("instance {name} knows the later start of {id_}")
 def knows_start(context, name, id_):
-    assert context.fleet.instances[name].directory.records[id_].born == LATER
+    assert context.fleet.instances[name].directory.records[id_].born == LATER_START
 
 
 @given('a backend server that answers "{answer}", started at {born:d}')
@@ -149,7 +155,7 @@
     read(context, BYTES.get(text, text.encode()))
 
 
-def written(table, field, value):
+def with_field(table, field, value):
     """Return a table as JSON bytes, with a field left out or set to a JSON text."""
     changed = {name: one for name, one in table.items() if name != field}
     if value != "missing":
@@ -160,7 +166,7 @@
 
 @when("a server's entry is read with {field} as {value}")
 def read_entry(context, field, value):
-    read(context, written(ENTRY, field, value))
+    read(context, with_field(ENTRY, field, value))
 
 
 @then("it yields no server")
@@ -180,7 +186,7 @@
     context.fleet.servers.put(id_, text.encode())
 
 
-def answering(values):
+def store_answering(values):
     """Return a fake store client that answers with a page of rows of these values."""
     rows = [{"key": f"edge-{n}", "value": value, "ver": n} for n, value in enumerate(values, 1)]
     data = json.dumps({"rows": rows, "ver": 9}).encode()
@@ -188,21 +194,21 @@
     return SimpleNamespace(read=lambda *args: answer)
 
 
-def packed(value):
+def encode_row(value):
     return base64.b64encode(value).decode()
 
 
 @given("a store with four rows, the second with broken base64 and the third with a number")
 def broken_rows(context):
-    values = [packed(b"one"), "no base64!", 17, packed(b"4")]
-    context.store_table = StoreTable(answering(values), "servers")
+    values = [encode_row(b"one"), "no base64!", 17, encode_row(b"4")]
+    context.store_table = StoreTable(store_answering(values), "servers")
 
 
 @given("a list of three instances, the second with {field} as {value}")
 def instance_rows(context, field, value):
-    sound = packed(json.dumps(INSTANCE).encode())
-    values = [sound, packed(written(INSTANCE, field, value)), sound]
-    context.list = StoreInstances(answering(values))
+    sound = encode_row(json.dumps(INSTANCE).encode())
+    values = [sound, encode_row(with_field(INSTANCE, field, value)), sound]
+    context.list = StoreInstances(store_answering(values))
 
 
 @when("the list of instances is read")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -31,7 +31,7 @@
 LENGTH_S = 20.0
 CALLERS = 12
 # How long the caller of a starting instance waits for an answer, as callers of the platform do.
-READ_S = 1.0
+ANSWER_TIMEOUT_S = 1.0
 RESTART = Fault(5.0, "restart", ("a-1",), 1.0)
 
 
@@ -44,7 +44,7 @@
 
 
 @then("every promise is kept")
-def none_broken(context):
+def no_violations(context):
     broken = check(context.record, context.faults, context.length)
     assert not broken, broken
 
@@ -97,14 +97,14 @@
 
 
 @given("a record of a soak without violations")
-def good(context):
+def record_without_violations(context):
     record = context.record = Record()
     for number in range(40):
         kind = ("safe", "unsafe", "stream", "resumable")[number % 4]
         add(record, exchange(f"r{number}", kind, number * LENGTH_S / 40))
-    record.written.update({1: 0.0, 5: 4.0})
+    record.written_at.update({1: 0.0, 5: 4.0})
     record.probes.extend(Probe(at, "a-1", 1, 1 if at < 4.5 else 5) for at in range(20))
-    record.drained["desk-9"] = 4.0
+    record.drained_at["desk-9"] = 4.0
     context.faults, context.length = [RESTART], LENGTH_S
 
 
@@ -129,17 +129,17 @@
 
 
 @when("a refusal has no Retry-After")
-def says_nothing(context):
+def no_retry_after(context):
     context.record.exchanges["x"] = exchange("x", status=503)
 
 
 @when("an answer has another request's body")
 def other_body(context):
-    add(context.record, exchange("x", fault="body b'r1 by desk-1'"))
+    add(context.record, exchange("x", answer_error="body b'r1 by desk-1'"))
 
 
 @when("a server got a request that no caller sent")
-def nobody(context):
+def unknown_request(context):
     arrive(context.record, "forged", 3.0)
 
 
@@ -150,8 +150,8 @@
 
 
 @when("a server got results of another request")
-def foreign_results(context):
-    context.record.wrong.append("r1 was given 127.0.0.1:1/0x0x1-r2")
+def others_results(context):
+    context.record.violations.append("r1 was given 127.0.0.1:1/0x0x1-r2")
 
 
 @when("a valid key was refused")
@@ -182,18 +182,18 @@
 
 
 @when("a server of a drained data centre got a request")
-def emptied_used(context):
+def drained_datacentre_used(context):
     context.faults.remove(RESTART)
     context.record.datacentres["desk-8"] = "b"
-    context.record.emptied.append(("b", 2.0, 9.5))
+    context.record.drained_datacentres.append(("b", 2.0, 9.5))
     add(context.record, exchange("x", sent=9.0))
     arrive(context.record, "y", 9.0, "desk-8")
     context.record.exchanges["y"] = exchange("y", sent=9.0)
 
 
 @when("a cold server got many requests in a second")
-def cold_crowded(context):
-    context.record.cold["desk-7"] = 6.0
+def cold_overloaded(context):
+    context.record.cold_since["desk-7"] = 6.0
     for number in range(15):
         add(context.record, exchange(f"x{number}", sent=6.0 + number * 0.05))
         arrive(context.record, f"x{number}", 6.0 + number * 0.05, "desk-7")
@@ -202,14 +202,14 @@
 @when("a server got more requests than its limit")
 def limit_exceeded(context):
     context.record.limits["desk-8"] = (2.0, 1.0)
-    context.record.reached["desk-8"] += [7.0 + number * 0.2 for number in range(12)]
+    context.record.reached_at["desk-8"] += [7.0 + number * 0.2 for number in range(12)]
 
 
 @when("a server got a request after it announced that it leaves")
 def leaving_used(context):
     context.faults[:] = [one for one in context.faults if one is not RESTART]
     add(context.record, exchange("told", "safe", sent=3.0))
-    context.record.told_leaving.append((3.1, "desk-1", "told"))
+    context.record.leaving_answers.append((3.1, "desk-1", "told"))
     for id_ in list(context.record.exchanges):
         if id_ != "told":
             context.record.arrivals.pop(id_, None)
@@ -219,15 +219,15 @@
 @when("a stage server got a call after it announced that it leaves")
 def leaving_called(context):
     context.faults.remove(RESTART)
-    context.record.told_leaving.append((3.1, "enc-2", ""))
-    context.record.reached["enc-2"] += [3.0, 12.0]
+    context.record.leaving_answers.append((3.1, "enc-2", ""))
+    context.record.reached_at["enc-2"] += [3.0, 12.0]
 
 
 @when("a server got three requests within a back-off")
-def rest_broken(context):
+def backoff_broken(context):
     context.faults[:] = [one for one in context.faults if one is not RESTART]
     add(context.record, exchange("told", "safe", sent=3.0))
-    context.record.rests.append((3.1, "desk-7", "told", 3.0))
+    context.record.backoffs.append((3.1, "desk-7", "told", 3.0))
     for number in range(3):
         arrive(context.record, "told", 4.0 + number / 10, "desk-7")
 
@@ -238,22 +238,22 @@
 
 
 @when("a service got more retries than the budget allows")
-def many_repeats(context):
+def many_retries(context):
     for number in range(80):
         arrive(context.record, f"r{4 * (number % 10)}", 9.0 + number / 100)
 
 
 @when("requests reached servers long after their callers disconnected")
-def after_left(context):
+def sent_after_abandoned(context):
     context.faults.remove(RESTART)
     for number in range(5):
-        add(context.record, exchange(f"x{number}", "safe", left=3.1, status=0), at=5.0)
+        add(context.record, exchange(f"x{number}", "safe", abandoned_at=3.1, status=0), at=5.0)
 
 
 @when("a request that crashed servers keeps reaching servers")
-def deadly_again(context):
+def deadly_not_quarantined(context):
     context.faults.clear()
-    context.record.deadly_ends.extend((2.0, 3.0, 4.0))
+    context.record.deadly_crashes.extend((2.0, 3.0, 4.0))
     for number in range(4):
         add(context.record, exchange(f"deadly{number}", "stream", status=502), at=9.0 + number)
 
@@ -262,12 +262,12 @@
 def none_at_end(context):
     for id_, one in list(context.record.exchanges.items()):
         if one.sent > 17.0:
-            context.record.exchanges[id_] = replace(one, status=0, read=False)
+            context.record.exchanges[id_] = replace(one, status=0, sent_whole=False)
 
 
 @when("a process exited unasked")
 def ended(context):
-    context.record.ends.append("a-1 exited with status 1 at 3.00 s")
+    context.record.unplanned_exits.append("a-1 exited with status 1 at 3.00 s")
 
 
 def start_alone(context, fault):
@@ -275,14 +275,14 @@
     play = Play(1, 0.0, 1, 1, folder, [])
     context.stack.enter_context(play.stack)
     play.configurer.write()
-    play.park.begin()
-    play.stack.callback(play.park.end)
+    play.server_fleet.begin()
+    play.stack.callback(play.server_fleet.stop)
     play.store.fault = fault
     (context.instance,) = play.instances.values()
-    context.instance.write([])
+    context.instance.write_settings([])
     context.instance.start()
     context.caller = play.callers[0]
-    context.caller.patience_s = READ_S
+    context.caller.timeout_s = ANSWER_TIMEOUT_S
 
 
 @given("a slow store, and an instance as a process")
@@ -296,7 +296,7 @@
 
 
 def wait_until_listening(context):
-    host, port = split_address(context.instance.listens)
+    host, port = split_address(context.instance.callers_listen)
     with gevent.Timeout(20.0):
         while True:
             try:
@@ -352,7 +352,7 @@
 
 
 @then("none of its instances is running")
-def none_runs(context):
+def no_instance_running(context):
     for child in context.children:
         command = Path(f"/proc/{child}/cmdline")
         assert not command.exists() or b"mountladder_entry" not in command.read_bytes(), child
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -24,7 +24,7 @@
 def clock(context):
     context.suspended = 0.0
     context.clock = SystemClock(boot=lambda: time.monotonic() + context.suspended)
-    context.before = context.clock.now()
+    context.started_at = context.clock.now()
     context.done = Event()
 
 
@@ -33,7 +33,7 @@
     context.cancel = context.clock.call_later(float(ms), context.done.set)
 
 
-def in_task(context, function):
+def run_in_task(context, function):
     """Run a function in a task; the task waits already when this returns."""
     done = context.done
     task = gevent.spawn(function)
@@ -44,12 +44,12 @@
 
 @given("a task that sleeps for {ms:d} ms")
 def task_sleeps(context, ms):
-    in_task(context, lambda: context.clock.sleep(float(ms)))
+    run_in_task(context, lambda: context.clock.sleep(float(ms)))
 
 
 @given("a wait for an event up to {ms:d} ms")
 def task_waits(context, ms):
-    in_task(context, lambda: context.clock.wait(Event(), float(ms)))
+    run_in_task(context, lambda: context.clock.wait(Event(), float(ms)))
 
 
 @given("a timeout of {ms:d} ms")
@@ -61,7 +61,7 @@
         except WaitTimeoutError:
             return
 
-    in_task(context, limited)
+    run_in_task(context, limited)
 
 
 @when("the machine is suspended for {ms:d} ms")
@@ -75,14 +75,14 @@
 
 
 @when("the call is cancelled")
-def withdrawn(context):
+def cancelled(context):
     context.cancel()
 
 
 @then("{ms:d} ms have passed on the clock")
-def gone_by(context, ms):
+def passed(context, ms):
     # Up to 5 s more, since the machine that runs this may be busy.
-    assert ms <= context.clock.now() - context.before < ms + 5_000
+    assert ms <= context.clock.now() - context.started_at < ms + 5_000
 
 
 @then("it has {outcome} within {ms:d} ms")
@@ -122,9 +122,9 @@
     began = time.perf_counter()
     for _ in range(times):
         plain.now()
-    context.each_us = (time.perf_counter() - began) / times * 1e6
+    context.mean_us = (time.perf_counter() - began) / times * 1e6
 
 
 @then("each reading took at most {us:d} microseconds")
-def each_took(context, us):
-    assert context.each_us <= us, context.each_us
+def mean_at_most(context, us):
+    assert context.mean_us <= us, context.mean_us
