--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -1,8 +1,8 @@
-# process_steps.py -- Steps that start, signal and end processes
+# process_steps.py -- Steps that start, signal and stop processes
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps that start, signal and end processes."""
+"""Steps that start, signal and stop processes."""
 
 import dataclasses
 import json
@@ -20,7 +20,7 @@
 from mountladder_standins.listening import free_address
 
 BIN = Path(sys.executable).parent
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 POOL = urllib3.PoolManager(maxsize=16, retries=False)
 SETTINGS = """
 name = "{name}"
@@ -32,7 +32,7 @@
 heartbeat_ms = 100
 poll_ms = 100
 """
-BAD = 'name = 1\ndatacentre = ""\nweb = "x"\npeer = "y"\nplatform = "z"\nsecret = "s"\n'
+BAD_SETTINGS = 'name = 1\ndatacentre = ""\nweb = "x"\npeer = "y"\nplatform = "z"\nsecret = "s"\n'
 
 
 def toml(document):
@@ -42,20 +42,20 @@
             inner = ", ".join(f'{name} = "{one}"' for name, one in value.items())
             lines.append(f"{key} = {{ {inner} }}")
         else:
-            shown = list(value) if isinstance(value, tuple) else value
-            lines.append(f"{key} = {json.dumps(shown)}")
+            encoded = list(value) if isinstance(value, tuple) else value
+            lines.append(f"{key} = {json.dumps(encoded)}")
     return "\n".join(lines) + "\n"
 
 
 def start(context, name, *arguments):
     log = context.stack.enter_context((context.folder / f"{name}.log").open("ab"))
     process = subprocess.Popen([str(BIN / arguments[0]), *arguments[1:]], stdout=log, stderr=log)
-    context.stack.callback(end, process)
+    context.stack.callback(stop, process)
     context.processes[name] = process
     return process
 
 
-def end(process):
+def stop(process):
     if process.poll() is None:
         process.send_signal(signal.SIGCONT)
         process.kill()
@@ -66,15 +66,15 @@
     start(context, name, "mountladderd", str(context.folder / f"{name}.toml"))
 
 
-def eventually(holds):
-    with gevent.Timeout(PATIENCE_S):
+def wait_until(holds):
+    with gevent.Timeout(TIMEOUT_S):
         while not holds():
             gevent.sleep(0.05)
 
 
 def call(method, url, **more):
     try:
-        return POOL.request(method, url, timeout=PATIENCE_S, **more)
+        return POOL.request(method, url, timeout=TIMEOUT_S, **more)
     except urllib3.exceptions.HTTPError:
         return None
 
@@ -104,16 +104,16 @@
         )
         (context.folder / f"{name}.toml").write_text(text + f"seeds = {json.dumps(peers)}\n")
         start_instance(context, name)
-    eventually(lambda: call("GET", f"{context.platform}/counts") is not None)
+    wait_until(lambda: call("GET", f"{context.platform}/counts") is not None)
     operate(context, "apply", "-f", str(path))
-    eventually(lambda: all(revision(context, name) >= 1 for name in context.web))
-    eventually(lambda: all(is_ready(context, name) for name in context.web))
-    eventually(lambda: all(ran(context, name) is not None for name in context.servers))
+    wait_until(lambda: all(revision(context, name) >= 1 for name in context.web))
+    wait_until(lambda: all(is_ready(context, name) for name in context.web))
+    wait_until(lambda: all(stage_runs(context, name) is not None for name in context.servers))
 
 
 def operate(context, *arguments):
     command = [str(BIN / "mountladder"), "--platform", context.platform, *arguments]
-    subprocess.run(command, check=True, capture_output=True, timeout=PATIENCE_S)
+    subprocess.run(command, check=True, capture_output=True, timeout=TIMEOUT_S)
 
 
 def revision(context, name):
@@ -121,7 +121,7 @@
     return -1 if response is None else json.loads(response.data)["revision"]
 
 
-def ran(context, name):
+def stage_runs(context, name):
     response = call("GET", f"http://{context.servers[name]}/ran")
     return None if response is None else json.loads(response.data)["ran"]
 
@@ -141,36 +141,36 @@
     return None if response is None else json.loads(response.data)
 
 
-def pushes(context):
-    both = (ran(context, "desk-1"), ran(context, "desk-2"))
+def push_runs(context):
+    both = (stage_runs(context, "desk-1"), stage_runs(context, "desk-2"))
     return [one for rows in both for one in rows if one["work"] == "push"]
 
 
 @when('a push with key "{key}" is sent to process a-1 and a-1 is killed while it runs')
 def kill_during(context, key):
     task = gevent.spawn(send, context, "a-1", "push", key)
-    eventually(lambda: pushes(context))
+    wait_until(lambda: push_runs(context))
     context.processes["a-1"].kill()
     task.join()
     assert task.value is None
 
 
-@then('a repeat with key "{key}" at b-1 is never run and ends as not known')
+@then('a repeat with key "{key}" at b-1 is not run and has an unknown outcome')
 def repeat_unknown(context, key):
     assert send(context, "b-1", "push", key)["class"] == "unknown"
 
 
 @then('the stand-ins ran "push" {times:d} time')
 def ran_times(context, times):
-    assert len(pushes(context)) == times
+    assert len(push_runs(context)) == times
 
 
-@when("process {name} is stopped for a while")
+@when("process {name} is paused")
 def pause(context, name):
     context.processes[name].send_signal(signal.SIGSTOP)
 
 
-@when("process {name} goes on")
+@when("process {name} continues")
 def resume(context, name):
     context.processes[name].send_signal(signal.SIGCONT)
 
@@ -180,12 +180,12 @@
     operate(context, "drain", name)
 
 
-@then("{name} has revision {number:d} in force in the end")
+@then("{name} has revision {number:d} in force eventually")
 def in_force(context, name, number):
-    eventually(lambda: revision(context, name) == number)
+    wait_until(lambda: revision(context, name) == number)
 
 
-@when("both processes are restarted one after another while requests are sent")
+@when("both processes are restarted one after the other under load")
 def restart_all(context):
     context.answers = []
     context.statuses = []
@@ -198,29 +198,29 @@
                 context.answers.append(send(context, ready[0], "reply"))
 
     tasks = [gevent.spawn(load) for _ in range(4)]
-    eventually(lambda: len(context.answers) >= 10)
+    wait_until(lambda: len(context.answers) >= 10)
     for name in context.web:
         process = context.processes[name]
         process.terminate()
-        eventually(lambda one=process: one.poll() is not None)
+        wait_until(lambda one=process: one.poll() is not None)
         context.statuses.append(process.returncode)
         start_instance(context, name)
-        eventually(lambda one=name: is_ready(context, one))
+        wait_until(lambda one=name: is_ready(context, one))
     before = len(context.answers)
-    eventually(lambda: len(context.answers) >= before + 20)
+    wait_until(lambda: len(context.answers) >= before + 20)
     running = False
     gevent.joinall(tasks)
 
 
-@then("every request was answered whole or told that it did not run")
-def none_lost(context):
+@then("every request was answered completely or refused as not run")
+def no_outcome_unknown(context):
     classes = {answer and answer["class"] for answer in context.answers}
     assert classes <= {"done", "not_run", None}, classes
     refused_at_once = [answer for answer in context.answers if answer is None]
     assert len(refused_at_once) <= 8, len(refused_at_once)
 
 
-@then("at least {number:d} requests were answered whole")
+@then("at least {number:d} requests were answered completely")
 def answered(context, number):
     assert sum(bool(one) and one["class"] == "done" for one in context.answers) >= number
 
@@ -233,12 +233,12 @@
 @when("mountladderd is started with bad settings")
 def bad_settings(context):
     path = context.folder / "bad.toml"
-    path.write_text(BAD)
+    path.write_text(BAD_SETTINGS)
     command = [str(BIN / "mountladderd"), str(path)]
-    context.ended = subprocess.run(command, capture_output=True, text=True, timeout=PATIENCE_S)
+    context.ended = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
 
 
-@then("it ends with status {status:d} and names {code:d} for {number:d} faults")
+@then("it exits with status {status:d} and reports {code:d} for {number:d} errors")
 def ended(context, status, code, number):
     assert context.ended.returncode == status, context.ended
     assert context.ended.stderr.count(str(code)) == number, context.ended.stderr
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,8 +1,8 @@
-# restart_steps.py -- Steps about servers that start again and entries of other writers
+# restart_steps.py -- Steps about restarted servers and malformed entries
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about servers that start again and entries of other writers."""
+"""Steps about restarted servers and malformed entries."""
 
 import base64
 import json
@@ -24,7 +24,7 @@
 SHARED = Prompt(1_000, 10, (PromptPart("shared", 900), PromptPart("own", 100)))
 RESULT_BYTES = 6_000_000.0
 JSON_TEXTS = {"400 digits": "9" * 400}
-LATER = 1_700_000_000_123
+LATER_START = 1_700_000_000_123
 DEEP = "[" * 100_000
 BYTES = {"\\xff\\xfe\\x00": b"\xff\xfe\x00", "nothing": b"", "deeply nested": DEEP.encode()}
 INSTANCE = {"incarnation": "x", "datacentre": "a", "peer": "10.1.0.1:7", "cores": 1.0, "since": 9}
@@ -41,16 +41,16 @@
 }
 
 
-def named(instance, id_):
-    """Return the server that an instance knows under an id."""
+def listed(instance, id_):
+    """Return the server that an instance lists under an id."""
     return instance.directory.records[id_].server
 
 
 def state(instance, id_):
-    return instance.router.state(named(instance, id_))
+    return instance.router.state(listed(instance, id_))
 
 
-@given("every instance has taken {first} and {second} out of use, since they said that they leave")
+@given("every instance avoids {first} and {second}, since they announced that they leave")
 def out_of_use(context, first, second):
     for instance in context.fleet.instances.values():
         for id_ in (first, second):
@@ -64,7 +64,7 @@
 
 @when("server {id_} is listed with a later start")
 def later_start(context, id_):
-    list_again(context, id_, LATER)
+    list_again(context, id_, LATER_START)
 
 
 @when("server {id_} is listed again with the same start")
@@ -77,17 +77,17 @@
     for name in context.fleet.instances:
         sent = request(f"to {name}", PATHS["safe"], context.clock.now())
         context.run(serve, context, name, sent)
-        assert context.ends[sent.id][:2] == (200, named_body(context, name, id_)), context.ends
+        assert context.ends[sent.id][:2] == (200, expected_body(context, name, id_)), context.ends
 
 
-def named_body(context, name, id_):
-    return named(context.fleet.instances[name], id_).name.encode()
+def expected_body(context, name, id_):
+    return listed(context.fleet.instances[name], id_).name.encode()
 
 
-@given("every instance knows that {id_} keeps parts of prompts, is slow and has results of 6 MB")
-def knows(context, id_):
+@given("every instance records {id_} as slow, with cached prompt parts and 6 MB of results")
+def records_state(context, id_):
     for instance in context.fleet.instances.values():
-        server = named(instance, id_)
+        server = listed(instance, id_)
         placement(instance).record_start(server.name, SHARED, 0)
         state(instance, id_).record_time_ratio(4.0, context.clock.now())
         instance.dispatch.batcher("enc").result_memory.reserve(server.name, RESULT_BYTES)
@@ -97,31 +97,37 @@
     return desk_of(instance).placement
 
 
-def known(context, id_):
-    """Return what each instance knows of a server: kept tokens, slowness, bytes of results."""
+def recorded_state(context, id_):
+    """Return each instance's state of a server: cached tokens, slowness, bytes of results."""
     now = context.clock.now()
     found = []
     for instance in context.fleet.instances.values():
         one = state(instance, id_)
-        room = instance.dispatch.batcher("enc").result_memory.used_bytes(one.server.name, now)
-        found.append((placement(instance).cached_tokens(one, SHARED), one.slowness, room))
+        result_bytes = instance.dispatch.batcher("enc").result_memory.used_bytes(
+            one.server.name, now
+        )
+        found.append((placement(instance).cached_tokens(one, SHARED), one.slowness, result_bytes))
     return found
 
 
-@then("no instance takes {id_} to keep any part, to be slow or to have results")
-def knows_nothing(context, id_):
-    assert known(context, id_) == [(0, 1.0, 0.0)] * 3, known(context, id_)
+@then("no instance records {id_} as slow, with cached prompt parts or results")
+def no_state_recorded(context, id_):
+    assert recorded_state(context, id_) == [(0, 1.0, 0.0)] * 3, recorded_state(context, id_)
 
 
-@then("every instance still knows this of {id_}")
-def still_knows(context, id_):
-    for kept, slowness, room in known(context, id_):
-        assert kept == 900 and slowness > 1.0 and room == RESULT_BYTES, (kept, slowness, room)
+@then("every instance still has this state of {id_}")
+def still_records_state(context, id_):
+    for cached, slowness, result_bytes in recorded_state(context, id_):
+        assert cached == 900 and slowness > 1.0 and result_bytes == RESULT_BYTES, (
+            cached,
+            slowness,
+            result_bytes,
+        )
 
 
 @then("instance {name} knows the later start of {id_}")
 def knows_start(context, name, id_):
-    assert context.fleet.instances[name].directory.records[id_].born == LATER
+    assert context.fleet.instances[name].directory.records[id_].born == LATER_START
 
 
 @given('a backend server that answers "{answer}", started at {born:d}')
@@ -131,7 +137,7 @@
     context.server = listed_server("i-1", "desk", address, "a", 8, False, born)
 
 
-@then("the server is named by its id alone")
+@then("the expected server is given by its id alone")
 def id_alone(context):
     ((head, _),) = context.got
     assert b"Mountladder-Expect-Instance: i-1\r\n" in head + b"\r\n", head
@@ -149,26 +155,26 @@
     read(context, BYTES.get(text, text.encode()))
 
 
-def written(table, field, value):
-    """Return a table as JSON bytes with a field missing, or as the JSON text that is given."""
+def with_field(table, field, value):
+    """Return a table as JSON bytes, with a field left out or set to a JSON text."""
     changed = {name: one for name, one in table.items() if name != field}
     if value != "missing":
         changed[field] = "@"
-    # Put in as it is written, since JSON texts may hold what no Python value is written as.
+    # Inserted as text, since some JSON texts have no Python value that is encoded that way.
     return json.dumps(changed).replace('"@"', JSON_TEXTS.get(value, value)).encode()
 
 
-@when("a server's entry is read, but for {field} as {value}")
+@when("a server's entry is read with {field} as {value}")
 def read_entry(context, field, value):
-    read(context, written(ENTRY, field, value))
+    read(context, with_field(ENTRY, field, value))
 
 
-@then("it names no server")
+@then("it yields no server")
 def no_server(context):
     assert context.record is None, context.record
 
 
-@then("it names a server that is {word}, started at {born:d}")
+@then("it yields a server that is {word}, started at {born:d}")
 def a_server(context, word, born):
     record = context.record
     assert record is not None and record.born == born, record
@@ -180,29 +186,29 @@
     context.fleet.servers.put(id_, text.encode())
 
 
-def answering(values):
-    """Return a client of the store that answers with a page of rows of these values."""
+def store_answering(values):
+    """Return a fake store client that answers with a page of rows of these values."""
     rows = [{"key": f"edge-{n}", "value": value, "ver": n} for n, value in enumerate(values, 1)]
     data = json.dumps({"rows": rows, "ver": 9}).encode()
     answer = SimpleNamespace(status=200, headers={}, data=data)
     return SimpleNamespace(read=lambda *args: answer)
 
 
-def packed(value):
+def encode_row(value):
     return base64.b64encode(value).decode()
 
 
-@given("a store whose rows are a sound one, one of broken bytes, one of a number and a sound one")
+@given("a store with four rows, the second with broken base64 and the third with a number")
 def broken_rows(context):
-    values = [packed(b"one"), "no base64!", 17, packed(b"4")]
-    context.store_table = StoreTable(answering(values), "servers")
+    values = [encode_row(b"one"), "no base64!", 17, encode_row(b"4")]
+    context.store_table = StoreTable(store_answering(values), "servers")
 
 
-@given("a list of instances whose second row of three has {field} as {value}")
+@given("a list of three instances, the second with {field} as {value}")
 def instance_rows(context, field, value):
-    sound = packed(json.dumps(INSTANCE).encode())
-    values = [sound, packed(written(INSTANCE, field, value)), sound]
-    context.list = StoreInstances(answering(values))
+    sound = encode_row(json.dumps(INSTANCE).encode())
+    values = [sound, encode_row(with_field(INSTANCE, field, value)), sound]
+    context.list = StoreInstances(store_answering(values))
 
 
 @when("the list of instances is read")
@@ -210,7 +216,7 @@
     context.instances = context.list.instances()
 
 
-@then("it names the first and the third instance")
+@then("it holds the first and the third instance")
 def names_two(context):
     assert [one.name for one in context.instances] == ["edge-1", "edge-3"], context.instances
 
@@ -220,7 +226,7 @@
     context.page = context.store_table.read()
 
 
-@then("it has {number:d} rows, of which {sound:d} have bytes")
+@then("it has {number:d} rows, {sound:d} of them with bytes")
 def has_rows(context, number, sound):
     assert len(context.page.rows) == number, context.page
     assert sum(bool(one.value) for one in context.page.rows) == sound, context.page
