--- a/features/entries.feature
+++ b/features/entries.feature
@@ -95,7 +95,7 @@
 
   Scenario Outline: How long a server stays cold
     When an entry says that the server stays cold for <told> ms
-    Then it is taken to be cold for <taken> ms
+    Then its record says that it is cold for <taken> ms
 
     Examples:
       | told      | taken |
--- a/features/eras.feature
+++ b/features/eras.feature
@@ -6,12 +6,12 @@
   Background:
     Given a forwarding fleet of instances a-1, a-2, b-1, b-2
     And servers desk-1, desk-2 of service desk and llm-1, llm-2 of service llm
-    And the store keeps a copy
+    And a copy of the store is saved
 
   Scenario: A server that began to drain in the gap stays out of use
     When server desk-1 is listed as draining
     And 500 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 300 ms go by
     Then every instance knows servers desk-2
     When server desk-1 is listed as draining
@@ -21,7 +21,7 @@
   Scenario: A server that left in the gap stays out of use, until it writes again
     When server desk-1 is removed from the list
     And 2500 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 300 ms go by
     Then every instance knows servers desk-2
     When server desk-1 is listed again
@@ -31,7 +31,7 @@
   Scenario: A server that started under the same id in the gap is used once it has written again
     When server desk-1 starts again
     And 500 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 300 ms go by
     And server desk-1 starts again
     And 100 ms go by
@@ -41,7 +41,7 @@
     When server desk-1 is listed as draining
     And 500 ms go by
     And the store is down
-    And the store comes back from the copy
+    And the store is restored from the copy
     And server desk-1 starts again
     And the store is up again
     And 1500 ms go by
@@ -50,7 +50,7 @@
   Scenario: A new server stays in use, as it is expected to write again
     When server desk-3 is listed again
     And 500 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 1500 ms go by
     Then every instance knows servers desk-1, desk-2, desk-3
     When server desk-3 is listed again
@@ -60,7 +60,7 @@
   Scenario: A new server that does not write again is gone
     When server desk-3 is listed again
     And 500 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 2500 ms go by
     Then every instance knows servers desk-1, desk-2
 
@@ -69,7 +69,7 @@
     And 500 ms go by
     And the store is down
     And 100 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And server desk-3 is listed again
     And 12 rows that name no server are written
     And the store is up again
@@ -79,7 +79,7 @@
   Scenario: Versions stay behind the old position for long
     When 50 rows that name no server are written
     And 500 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 300 ms go by
     And server desk-3 is listed again
     And 100 ms go by
@@ -92,7 +92,7 @@
     When server desk-1 is listed as draining
     And 500 ms go by
     And instance b-2 reaches neither the store nor the others
-    And the store comes back from the copy
+    And the store is restored from the copy
     And server desk-3 is listed again
     And 500 ms go by
     And instance b-2 reaches the others once more
@@ -102,9 +102,9 @@
   Scenario: Twice within a second
     When server desk-1 is listed as draining
     And 300 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 300 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And server desk-3 is listed again
     And 300 ms go by
     Then every instance knows servers desk-2, desk-3
@@ -112,7 +112,7 @@
   Scenario: The catalogue in force stays in force, also on an instance that starts then
     When catalogue version 5 is written
     And 500 ms go by
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 300 ms go by
     And instance b-3 starts
     And 100 ms go by
@@ -125,7 +125,7 @@
     Given 30 further instances in data centre a
     When 1000 ms go by
     And the announcements of instances are watched
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 2300 ms go by
     Then the store knows every instance
     And at most 8 instances made themselves known within any 100 ms
@@ -133,9 +133,9 @@
 
   Scenario: Instances that were known long before do not
     When 61000 ms go by
-    And the store keeps a copy
+    And a copy of the store is saved
     And the announcements of instances are watched
-    And the store comes back from the copy
+    And the store is restored from the copy
     And 2300 ms go by
     Then no instance made itself known again
 
--- a/features/fleetevents.py
+++ b/features/fleetevents.py
@@ -1,17 +1,17 @@
-# fleetevents.py -- What happens to instances while requests come
+# fleetevents.py -- Restarts, crashes and partitions of instances while requests come
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What happens to instances while requests come."""
+"""Restarts, crashes and partitions of instances while requests come."""
 
 import gevent
 from forwardbasics import meeting
 
-# When something happens, and for how long an instance is down that is restarted, alone or in turn.
+# When the event begins, and how long an instance that is restarted is down, alone or in turn.
 EVENT_MS = 4_000.0
 DOWN_MS = 1_000.0
 TURN_MS = 500.0
-# How long all are cut off from each other at first, and for how long not, before it comes again.
+# How long the first of two partitions lasts, and how long after it the second one begins.
 TWICE_CUT_MS, TWICE_CALM_MS = 2_500.0, 33_000.0
 
 
@@ -57,7 +57,7 @@
 
 
 def cut_all_twice(context):
-    """Cut all off from each other, for a while and then again, with a calm time between."""
+    """Cut all instances off from each other for a while, and a second time later on."""
     cut_all(context)
     context.clock.sleep(TWICE_CUT_MS)
     context.fleet.network.cut_instances.clear()
@@ -85,12 +85,12 @@
 
 
 EVENTS = {
-    "the instance where its work meets is restarted": restart_meeting,
-    "the instance where its work meets dies": end_meeting,
+    "the service's coordinator is restarted": restart_meeting,
+    "the service's coordinator crashes": end_meeting,
     "three instances are cut off from the others": cut_three,
-    "half of them lose the one where its work meets": lose_meeting,
-    "two of them lose the one where its work meets": two_lose_meeting,
-    "all are cut off from each other, twice": cut_all_twice,
+    "half of the others lose the service's coordinator": lose_meeting,
+    "two of the others lose the service's coordinator": two_lose_meeting,
+    "all instances are cut off from each other, twice": cut_all_twice,
     "two more instances start": start_two,
     "all instances are restarted at once": restart_all,
     "instances are restarted one after the other": restart_in_turn,
--- a/features/forwardbasics.py
+++ b/features/forwardbasics.py
@@ -1,8 +1,8 @@
-# forwardbasics.py -- A small catalogue that scenarios about forwarding share
+# forwardbasics.py -- A small catalogue, and helpers for scenarios about forwarding
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A small catalogue that scenarios about forwarding share."""
+"""A small catalogue, and helpers for scenarios about forwarding."""
 
 from dataclasses import replace
 
@@ -95,7 +95,7 @@
 
 
 def meeting(context, topic, datacentre=""):
-    """Return an instance where the work of a topic meets, in a data centre or anywhere."""
+    """Return an instance that is the coordinator of a topic, in a data centre or anywhere."""
     return next(
         one
         for one in context.fleet.instances.values()
@@ -104,12 +104,12 @@
 
 
 def desk_of(instance):
-    """Return what places prompts on an instance."""
+    """Return the placement coordinator of an instance."""
     return instance.forwarder.context.picker.placer.coordinator
 
 
 def serve(context, name, sent):
-    """Send a request and keep how it ended: (status, body, code, class, error), and when."""
+    """Send a request; record its outcome (status, body, code, class, error), and when it ended."""
     context.arrived[sent.id] = sent.arrived
     try:
         serve_whole(context, name, sent)
@@ -118,7 +118,7 @@
 
 
 def serve_whole(context, name, sent):
-    """Send a request, read its answer, and keep how it ended and how long it took to begin."""
+    """Send a request and read its answer; record its outcome and the time to its first byte."""
     try:
         answer = context.fleet.send(name, sent)
     except MountladderError as error:
@@ -137,7 +137,7 @@
 
 
 def watch(context):
-    """Note when each server is sent requests, and by which instance."""
+    """Record when each server is sent requests, and by which instance."""
     context.sent = []
     upstream = context.fleet.upstream
     plain_open, plain_pieces = upstream.open, upstream.run_pieces
@@ -155,15 +155,15 @@
 
 
 def send_steadily(context, per_s, kind, ms, names=(), label="", fields=lambda n: {}):
-    """Send requests at a steady rate, each at the next of some instances.
+    """Send requests at a steady rate, to the instances in turn.
 
     Args:
-        context: The scenario's.
-        per_s: How many a second.
-        kind: Their kind, one of PATHS.
-        ms: For how long.
-        names: The instances; without them all.
-        label: What tells their ids from those of other series.
+        context: The scenario's context.
+        per_s: Requests a second.
+        kind: The kind of the requests, a key of PATHS.
+        ms: How long to send, in milliseconds.
+        names: The instances; all if empty.
+        label: A prefix that makes the ids unique among several series.
         fields: Returns further fields of a request, by its number.
     """
     names = list(names or context.fleet.instances)
@@ -182,12 +182,12 @@
 
 
 def most_within(times, span_ms):
-    """Return how many of some times lie within any span of a length, at most."""
+    """Return the largest number of times within any span of a length."""
     return max((sum(at <= one < at + span_ms for one in times) for at in times), default=0)
 
 
 class QuietDispatch:
-    """Stands for the dispatch of stages; says nothing of services and keeps no results."""
+    """A dispatch of stages that announces no services and keeps no results."""
 
     def announce(self, notice):
         pass
@@ -206,7 +206,7 @@
 
 
 class AllWarm:
-    """Stands for what limits cold servers; takes none to be cold."""
+    """A limit for cold servers that considers no server cold."""
 
     def exhausted(self, servers, cold, topic):
         return frozenset()
@@ -219,7 +219,7 @@
 
 
 class NoLimits:
-    """Stands for what keeps to the limits of servers; none names one."""
+    """Server limits where no server has announced one."""
 
     def waits_ms(self, servers, topic):
         return {}
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -247,7 +247,7 @@
     When a bar is written there and read again
     Then it is the same bar
     When it is removed
-    Then no bar is kept
+    Then no bar is stored
 
   Scenario Outline: A row of bars that cannot be read hides no other
     Given a store that keeps rows of bars
@@ -263,7 +263,7 @@
       | a time before 1970 |
 
   Scenario: An operator lists and clears requests under which servers ended
-    Given an instance's inner pages with one barred request
+    Given an instance's operator pages with one barred request
     When an operator lists them with the token
     Then the barred request is shown with its servers
     When an operator clears it with the token
--- a/features/serversays.py
+++ b/features/serversays.py
@@ -1,8 +1,8 @@
-# serversays.py -- What instances hear of servers in their answers, and what they send them
+# serversays.py -- Records notices from servers to instances, and requests sent to servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What instances hear of servers in their answers, and what they send them."""
+"""Records notices from servers to instances, and requests sent to servers."""
 
 from collections import namedtuple
 
@@ -13,14 +13,14 @@
 from mountladder.notices.backoff import BackOff
 from mountladder.notices.leaving import Leaving
 
-# By when instances have acted on what they were told.
+# After this time instances have acted on a notice.
 SETTLE_MS = 500.0
 Sending = namedtuple("Sending", "at server instance came")
 Asked = namedtuple("Asked", "at server instance for_ms")
 
 
 def follow(context):
-    """Note what instances hear of servers, and which one sends each server what."""
+    """Record the notices that instances receive, and the requests that each sends to servers."""
     context.told, context.first_told = {}, {}
     context.asked, context.sendings, context.opened = [], [], []
     for instance in context.fleet.instances.values():
@@ -37,7 +37,7 @@
 
 
 def follow_instance(context, instance):
-    """Note what an instance hears of servers."""
+    """Record the notices that an instance receives."""
     plain, name = instance.notices.dispatch, instance.settings.name
 
     def hear(server, notices, sent_at):
@@ -52,14 +52,14 @@
 
     hear.instance = name
     instance.notices.dispatch = hear
-    # Who starts again may not know what it was told before.
+    # An instance that restarts may have lost the notices of its earlier run.
     context.asked[:] = [one for one in context.asked if one.instance != name]
     for key in [key for key in context.told if key[0] == name]:
         del context.told[key]
 
 
 def follow_upstream(context, upstream):
-    """Note which instance sends each server what, and when that came from its caller."""
+    """Record which instance sends requests to which server, and when their callers sent them."""
     plain_open, plain_pieces = upstream.open, upstream.run_pieces
 
     def note(server, heard, requests):
@@ -80,7 +80,7 @@
 
 
 def send(context, rate, kind, ms, label=""):
-    """Send requests at a steady rate, with prompts of twelve subjects where they have any."""
+    """Send requests at a steady rate; those of kinds with prompts have prompts of 12 subjects."""
 
     def fields(n):
         if kind not in PROMPT_KINDS:
@@ -96,7 +96,7 @@
 
 
 def say(context, servers, notices):
-    """Have the first instance hear notices of servers."""
+    """Have the first instance receive notices from servers."""
     instance = next(iter(context.fleet.instances.values()))
     for server in servers:
         found = instance.directory.find(server)
--- a/features/steps/bar_steps.py
+++ b/features/steps/bar_steps.py
@@ -1,8 +1,8 @@
-# bar_steps.py -- Steps about bars on the platform and for operators
+# bar_steps.py -- Steps about stored bars and the operator's quarantine commands
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about bars on the platform and for operators."""
+"""Steps about stored bars and the operator's quarantine commands."""
 
 import base64
 import json
@@ -99,12 +99,12 @@
     context.bars.remove(BAR.fingerprint)
 
 
-@then("no bar is kept")
+@then("no bar is stored")
 def none_kept(context):
     assert context.bars.read() == ()
 
 
-@given("an instance's inner pages with one barred request")
+@given("an instance's operator pages with one barred request")
 def pages(context):
     clock = SystemClock()
     quarantine = Quarantine(clock, MemoryMetrics())
--- a/features/steps/blame_steps.py
+++ b/features/steps/blame_steps.py
@@ -1,8 +1,8 @@
-# blame_steps.py -- Steps about whom ends of servers are blamed on
+# blame_steps.py -- Steps about which requests are barred after server crashes
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about whom ends of servers are blamed on."""
+"""Steps about which requests are barred after server crashes."""
 
 import re
 
@@ -21,12 +21,12 @@
 from mountladder.requests.configuredlisting import ConfiguredListing
 
 MARK = "ab" * 16
-# So that what happened before has a time as well.
+# Leaves room for events before the first crash.
 BEGIN_MS = 100_000.0
 END = re.compile(r"(\d+)( shared)? at (\d+)")
 
 
-@given("a book of suspects")
+@given("a quarantine registry")
 def a_book(context):
     context.clock = VirtualClock()
     context.clock.time = BEGIN_MS
@@ -35,33 +35,33 @@
 
 
 def end_under(context, book, ran_ms=60.0, shared=False):
-    """End a server of its own under the request, now."""
+    """Crash a further server while it runs the request, now."""
     context.starts += 1
     lost = Interruption(MARK, "r", ran_ms, context.clock.now(), alone=not shared)
     book.handle_crash(f"s{context.starts}", "llm", [lost])
 
 
-@given("a request that was answered whole {ms:d} ms before")
+@given("a request that was answered completely {ms:d} ms before")
 def answered_before(context, ms):
     context.clock.time = BEGIN_MS - ms
     context.book.record_answer(MARK)
     context.clock.time = BEGIN_MS
 
 
-@when("servers end under a request: {ends}")
+@when("servers crash while they run a request: {ends}")
 def end_all(context, ends):
     context.ends = [(float(a), bool(b), BEGIN_MS + float(c)) for a, b, c in END.findall(ends)]
     if not any("without it" in step.name for step in context.scenario.steps):
         play(context, [])
 
 
-@when("servers end without it: {others}")
+@when("servers crash without it: {others}")
 def others_end(context, others):
     play(context, [] if others == "none" else [BEGIN_MS + float(others)])
 
 
 def play(context, others):
-    """Let servers end under the request and without it, in the order of their times."""
+    """Crash servers with and without the request, in the order of their times."""
     todo = [(at, ran_ms, shared) for ran_ms, shared, at in context.ends]
     todo += [(at, None, False) for at in others]
     for at, ran_ms, shared in sorted(todo, key=lambda one: one[0]):
@@ -80,7 +80,7 @@
     assert found == outcome, (found, context.book.suspicions)
 
 
-@given("books of suspects of two instances that tell each other")
+@given("quarantine registries of two instances that exchange updates")
 def two_books(context):
     a_book(context)
     first, second = context.book, Quarantine(context.clock, MemoryMetrics())
@@ -89,12 +89,12 @@
     context.books = (first, second)
 
 
-@given("a request that was answered whole at the first")
+@given("a request that was answered completely at the first")
 def answered_at_first(context):
     context.books[0].record_answer(MARK)
 
 
-@when("a server ends under it at the second")
+@when("a server crashes while it runs the request at the second")
 def ends_at_second(context):
     context.clock.time += 1_000.0
     end_under(context, context.books[1])
@@ -105,7 +105,7 @@
     assert not any(book.is_suspect(MARK) for book in context.books)
 
 
-@when("a copy of it is sent, and another one is to be")
+@when("a copy of it is sent, and another one is due")
 def copy_sent(context):
     context.book.admit(MARK, "first", 5_000.0)
     context.since = context.clock.now()
@@ -123,12 +123,12 @@
     gevent.sleep(0)
 
 
-@when("the copy is answered whole after {ms:d} ms")
+@when("the copy is answered completely after {ms:d} ms")
 def copy_answered(context, ms):
     context.clock.call_later(ms, lambda: context.book.record_answer(MARK))
 
 
-@when("a server ends under the copy after {ms:d} ms")
+@when("after {ms:d} ms a server crashes while it runs the copy")
 def copy_ends(context, ms):
     context.clock.call_later(ms, lambda: end_under(context, context.book, float(ms)))
 
@@ -145,7 +145,7 @@
     assert context.waited == {"refused": float(ms)}, context.waited
 
 
-@given("servers whose ends are watched")
+@given("a crash detector")
 def watched(context):
     context.clock = VirtualClock()
     context.asked = []
@@ -166,7 +166,7 @@
     context.watch.on_crashed = ended
 
 
-@when("two connections to a server that has ended break {ms:d} ms apart")
+@when("two connections to a crashed server break {ms:d} ms apart")
 def break_apart(context, ms):
     context.asked.clear()
     context.told.clear()
@@ -185,7 +185,9 @@
     context.watch.investigate(server, [Interruption(MARK, request, 60.0, context.clock.now())])
 
 
-@when("a connection to a server breaks while it lives, and {ms:d} ms later another one as it ends")
+@when(
+    "a connection to a server breaks while it runs, and {ms:d} ms later another one as it crashes"
+)
 def break_and_end(context, ms):
     def break_both():
         context.refuses = False
@@ -197,12 +199,12 @@
     context.clock.run(gevent.spawn(break_both))
 
 
-@then("only the request of the second one is told to have been there")
+@then("only the request of the second connection is reported as lost in the crash")
 def only_second(context):
     assert context.lost == ["second"], context.lost
 
 
-@when("{number:d} connections to a server break while it lives, one every {ms:d} ms")
+@when("{number:d} connections to a server break while it runs, one every {ms:d} ms")
 def break_many(context, number, ms):
     context.refuses = False
 
@@ -214,25 +216,25 @@
     context.clock.run(gevent.spawn(break_all))
 
 
-@then("at most {number:d} of them are in doubt")
+@then("at most {number:d} of them are unresolved")
 def in_doubt(context, number):
     (found,) = context.watch.unresolved.values()
     assert len(found[1]) <= number, len(found[1])
 
 
-@then("it was asked once, and both are told of one start")
+@then("it was probed once, and both are reported for the same incarnation")
 def asked_once(context):
     assert len(context.asked) == 1 and len(context.told) == 2, (context.asked, context.told)
     assert len(set(context.told)) == 1, context.told
 
 
-@then("it was asked once more, and each is told of a start of its own")
+@then("it was probed once more, and each is reported for its own incarnation")
 def asked_again(context):
     assert len(context.asked) == 1 and len(set(context.told)) == 2, (context.asked, context.told)
 
 
 def suspicion(text):
-    """Return what an instance knows that saw some things, each at a second."""
+    """Return the suspicion after some events, each with its time in seconds."""
     known = Suspicion(MARK)
     for event in text.split():
         word, _, seconds = event.partition("@")
@@ -260,7 +262,7 @@
         assert (" ".join(words) or "nothing") == merged, found
 
 
-@given("books of suspects of five instances whose links take {ms:d} ms")
+@given("quarantine registries of five instances with link delays of {ms:d} ms")
 def slow_links(context, ms):
     clock = context.slow_clock = VirtualClock()
     context.slow_books = [Quarantine(clock, MemoryMetrics()) for _ in range(5)]
@@ -280,7 +282,7 @@
         book.on_update = lambda news, source, number=number: tell(number, news, source)
 
 
-@when("a server ends under a request at the first, which sends it on")
+@when("a server crashes while it runs a request at the first, which sends the request again")
 def ends_and_sent(context):
     def end():
         context.slow_clock.sleep(1_000.0)
@@ -292,7 +294,7 @@
     context.slow_clock.run(gevent.spawn(end))
 
 
-@then("within {ms:d} ms each of the others hears of it, in at most {most:d} messages")
+@then("within {ms:d} ms each of the others knows of it, after at most {most:d} messages")
 def told_once(context, ms, most):
     context.slow_clock.run(gevent.spawn(context.slow_clock.sleep, float(ms)))
     for book in context.slow_books:
@@ -301,8 +303,8 @@
 
 
 @when(
-    "a server ends under a request at the first, and it is answered whole at the {other} {ms:d} ms "
-    "later"
+    "a server crashes while it runs a request at the first, and the request is answered "
+    "completely at the {other} {ms:d} ms later"
 )
 def ends_and_answered(context, other, ms):
     book = context.slow_books[{"first": 0, "second": 1}[other]]
@@ -317,7 +319,7 @@
     context.slow_clock.run(gevent.spawn(end))
 
 
-@then("within {ms:d} ms all have cleared it, in at most {most:d} messages")
+@then("within {ms:d} ms all have cleared it, after at most {most:d} messages")
 def cleared_once(context, ms, most):
     context.slow_clock.run(gevent.spawn(context.slow_clock.sleep, float(ms)))
     assert len(context.messages) <= most, len(context.messages)
--- a/features/steps/coldserver_steps.py
+++ b/features/steps/coldserver_steps.py
@@ -31,11 +31,11 @@
 from mountladder.store.position import Position
 
 COLD_MS = 3_000.0
-# Where the shared parts of a prompt are kept counts for more than that a server is cold.
+# A cached shared prompt part would outweigh that a server is cold.
 UNSHARED = Prompt(1_000, 30, (PromptPart("own", 1_000),))
 SETTLE_MS = 1_500.0
 LISTED_MS = 300.0
-# By then links that are silent are missed.
+# After this time silent links are detected.
 CUT_MS = 2_500.0
 
 
@@ -82,14 +82,14 @@
 
 
 @when(
-    "server {name} starts again cold, {before:d} ms before {per_s:d} {kind} requests a second "
-    "for {ms:d} ms"
+    "server {name} restarts cold, {before:d} ms before {per_s:d} {kind} requests a second for "
+    "{ms:d} ms"
 )
 def one_cold(context, name, before, per_s, kind, ms):
     cold_then_send(context, [name], before, per_s, kind, ms)
 
 
-@when("server {name} starts again cold, and its entry is missing from {after:d} ms on")
+@when("server {name} restarts cold, and its entry is missing from {after:d} ms on")
 def cold_and_missing(context, name, after):
     turn_cold(context, [name])
     context.run(context.clock.sleep, float(after))
@@ -103,8 +103,8 @@
 
 
 @when(
-    "all {service} servers of data centre {there:w} start again cold, {before:d} ms before "
-    "{per_s:d} {kind} requests a second for {ms:d} ms"
+    "all {service} servers of data centre {there:w} restart cold, {before:d} ms before {per_s:d} "
+    "{kind} requests a second for {ms:d} ms"
 )
 def datacentre_cold(context, service, there, before, per_s, kind, ms):
     names = [name for name, one in context.servers.items() if one == (service, there)]
@@ -112,7 +112,7 @@
 
 
 @when(
-    "all {service:w} servers start again cold, {before:d} ms before {per_s:d} {kind} requests a "
+    "all {service:w} servers restart cold, {before:d} ms before {per_s:d} {kind} requests a "
     "second for {ms:d} ms"
 )
 def all_cold(context, service, before, per_s, kind, ms):
@@ -121,7 +121,7 @@
 
 
 def while_cold(context, name):
-    """Return when a server was sent requests while it was cold, each as often as it was."""
+    """Return when a server was sent requests while it was cold, once per request."""
     since = context.cold_since[name]
     return [
         at
@@ -156,14 +156,14 @@
     assert not while_cold(context, name)
 
 
-@then("whoever was not served was told that nothing ran")
+@then("every request that was not served was reported as not run")
 def told(context):
     lost = [end for end in context.ends.values() if end[0] != 200]
     assert lost and {end[3] for end in lost} == {"not_run"}
 
 
 @given(
-    "{number:d} instances are cut off from all others, and believe the work of all to meet there"
+    "{number:d} instances are cut off from all others, and each considers itself the coordinator"
 )
 def cut_off(context, number):
     names = list(context.fleet.instances)
@@ -184,7 +184,7 @@
     assert senders and not senders & set(context.cut), senders
 
 
-@given("the instance ranked fourth for prompts reaches none of the three before it")
+@given("the fourth candidate for placement coordinator cannot reach the first three")
 def reaches_no_firsts(context):
     any_ = next(iter(context.fleet.instances.values()))
     *firsts, fourth = (one.name for one in any_.fleet.coordinators.ranked(prompts_topic("llm"))[:4])
@@ -194,7 +194,7 @@
     context.fourth = context.fleet.instances[fourth]
 
 
-@then("it takes the prompts of all to meet there, and yet sends cold servers nothing")
+@then("it considers itself the coordinator, and yet sends cold servers nothing")
 def does_not_lead(context):
     topic = prompts_topic("llm")
     assert context.fourth.fleet.coordinator(topic) is None
@@ -212,7 +212,7 @@
 
 
 @when(
-    "{number:d} prompts are placed before {few:d} and then before {many:d} servers, some of them "
+    "{number:d} prompts are placed among {few:d} and then among {many:d} servers, some of them "
     "cold"
 )
 def clock_readings(context, number, few, many):
@@ -221,7 +221,7 @@
     plain, context.readings = context.clock.now, []
 
     def count_readings():
-        """Place prompts, and return how often the cold servers' limit read the clock."""
+        """Place prompts, and return how often the cold limit read the clock, per prompt."""
         read = []
         desk.cold.clock = SimpleNamespace(now=lambda: read.append(1) or plain())
         for n in range(number):
@@ -239,7 +239,7 @@
     context.readings.append(count_readings())
 
 
-@then("each took at most {most:d} readings of the clock more")
+@then("each placement read the clock at most {most:d} times")
 def few_readings(context, most):
     before, after = context.readings
     assert after <= most and before <= most, context.readings
@@ -254,7 +254,7 @@
     assert reply.server != context.first, reply
 
 
-@given("the instance where prompts meet and half of the others do not reach each other")
+@given("the placement coordinator and half of the other instances cannot reach each other")
 def two_homes(context):
     first = meeting(context, prompts_topic("llm")).settings.name
     others = [name for name in context.fleet.instances if name != first]
@@ -264,8 +264,8 @@
 
 
 @when(
-    "all {service:w} servers start again cold, {before:d} ms before an instance starts that knows "
-    "of no others"
+    "all {service:w} servers restart cold, {before:d} ms before an instance starts that knows no "
+    "others"
 )
 def starts_alone(context, service, before):
     turn_cold(context, [name for name, one in context.servers.items() if one[0] == service])
@@ -293,8 +293,7 @@
 
 
 @when(
-    "server {name} starts again cold, {before:d} ms before an instance starts while the store is "
-    "down"
+    "server {name} restarts cold, {before:d} ms before an instance starts while the store is down"
 )
 def starts_later(context, name, before):
     turn_cold(context, [name])
@@ -304,7 +303,7 @@
     context.run(context.clock.sleep, 100.0)
 
 
-@then("every instance takes {name} to be cold for {least:d} to {most:d} ms more")
+@then("every instance considers {name} cold for {least:d} to {most:d} ms more")
 def cold_for(context, name, least, most):
     for instance in context.fleet.instances.values():
         until = instance.directory.cold_until[name]
@@ -312,7 +311,7 @@
 
 
 def taken_cold(context):
-    """Return what each instance takes to be cold, as (service, data centre)."""
+    """Return what each instance considers cold, as (instance, service, data centre)."""
     found = set()
     for name, instance in context.fleet.instances.items():
         for service in ("desk", "llm", "enc"):
@@ -322,7 +321,7 @@
     return found
 
 
-@then("every instance takes the {service} servers of data centre {there:w} to be cold")
+@then("every instance considers the {service} servers of data centre {there:w} cold")
 def all_take(context, service, there):
     expected = {(name, service, there) for name in context.fleet.instances}
     found = taken_cold(context)
@@ -330,7 +329,7 @@
     assert {one[2] for one in found} == {there}
 
 
-@then("no instance takes any server to be cold")
+@then("no instance considers any server cold")
 def none_takes(context):
     assert not taken_cold(context)
 
@@ -351,6 +350,6 @@
     context.record = decode_server(row)
 
 
-@then("it is taken to be cold for {taken:d} ms")
+@then("its record says that it is cold for {taken:d} ms")
 def taken_for(context, taken):
     assert (context.record.cold_ms, context.record.sequence) == (taken, 4)
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -1,8 +1,8 @@
-# drain_steps.py -- Steps about data centres whose servers are to get nothing
+# drain_steps.py -- Steps about drained data centres
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about data centres whose servers are to get nothing."""
+"""Steps about drained data centres."""
 
 from collections import OrderedDict
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 
 
 def in_datacentre(context, datacentre):
-    """Return the names of the servers that stand in a data centre."""
+    """Return the names of the servers in a data centre."""
     instance = next(iter(context.fleet.instances.values()))
     records = instance.directory.records.values()
     servers = [one.server for one in records if one.server is not None]
@@ -38,7 +38,7 @@
     context.fleet.drain(datacentre)
 
 
-@when("data centre {datacentre:w} is taken back")
+@when("data centre {datacentre:w} is undrained")
 def take_back(context, datacentre):
     context.fleet.take_back(datacentre)
 
@@ -77,7 +77,7 @@
     context.run(send)
 
 
-@given("{number:d} staged requests are under way")
+@given("{number:d} staged requests are in flight")
 def under_way(context, number):
     names = list(context.fleet.instances)
 
@@ -101,17 +101,17 @@
     assert not lost, lost
 
 
-@then("every instance takes data centre {datacentre:w} to be drained")
+@then("every instance considers data centre {datacentre:w} drained")
 def all_drained(context, datacentre):
     assert drained(context, datacentre) == set(context.fleet.instances)
 
 
-@then("no instance takes data centre {datacentre:w} to be drained")
+@then("no instance considers data centre {datacentre:w} drained")
 def none_drained(context, datacentre):
     assert not drained(context, datacentre)
 
 
-@then("the balancer finds {name} ready")
+@then("the load balancer finds {name} ready")
 def is_ready(context, name):
     assert context.fleet.instances[name].ready
 
@@ -121,7 +121,10 @@
     start_and_serve(context, name, number, kind, 0.0)
 
 
-@when("instance {name} starts, which is sent {number:d} {kind} requests after the greetings")
+@when(
+    "instance {name} starts, which is sent {number:d} {kind} requests after the first messages "
+    "of its peers"
+)
 def greets_and_serves(context, name, number, kind):
     start_and_serve(context, name, number, kind, LINK_MS)
 
@@ -142,7 +145,7 @@
     assert any(one.startswith(name) for one in context.fleet.upstream.arrivals)
 
 
-@when("a peer that has not heard of the last change speaks to each instance")
+@when("a peer that has not received the last change sends its state to each instance")
 def late_word(context):
     for instance in context.fleet.instances.values():
         known = instance.directory.drains.entries["a"].position
@@ -157,7 +160,7 @@
     upstream.faults = dict.fromkeys([there], upstream.faults[there])
 
     def open_(server, call, limit_ms):
-        """Let the stream begin at the server, and drain the data centre while it runs."""
+        """Start the stream at the server, and drain the data centre while it runs."""
         if not upstream.arrivals[call.request.id]:
             context.clock.call_later(ms, lambda: context.fleet.drain(datacentre))
         return plain(server, call, limit_ms)
@@ -186,7 +189,7 @@
     assert context.fleet.upstream.runs["r"] == [first, second], context.fleet.upstream.runs["r"]
 
 
-@given("the instance where prompts meet hears of no drains")
+@given("the placement coordinator receives no drains")
 def deaf(context):
     instance = meeting(context, prompts_topic("llm"))
     context.deaf = instance.settings.name
@@ -206,7 +209,7 @@
     context.run(lambda: gevent.joinall([gevent.spawn(send_all, name) for name in others]))
 
 
-@given("model server llm-1 in a drained data centre keeps the parts of a prompt")
+@given("model server llm-1 in a drained data centre has cached the parts of a prompt")
 def keeps_parts(context):
     context.fleet.drain("a")
     context.run(context.clock.sleep, 60.0)
@@ -223,7 +226,7 @@
     context.reply = context.desk.place(PlacementOrder(1, "llm", PROMPT, (), ""), "a peer")
 
 
-@then("it is read, not fetched")
+@then("its parts are prefilled, not fetched")
 def read_not_fetched(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
     assert context.reply.read == PROMPT.tokens
@@ -234,13 +237,13 @@
     context.results = ("enc-1/1", "enc-2/2")
 
 
-@when("the results are given up where they meet")
+@when("the service's coordinator releases the results")
 def give_up(context):
     meeting(context, "enc").dispatch.batcher("enc").release(context.results)
     context.run(context.clock.sleep, 100.0)
 
 
-@then("only the result in data centre b is given up")
+@then("only the result in data centre b is released")
 def one_given_up(context):
     assert context.fleet.upstream.freed == ["enc-2/2"], context.fleet.upstream.freed
 
@@ -250,7 +253,7 @@
     assert context.clock.now() - context.sent_at <= ms
 
 
-@when("a row of the operator's table asks for a drain of no data centre")
+@when("a row of the operator's table drains a data centre without a name")
 def no_name(context):
     context.fleet.catalogue.put(DRAIN, b"{}")
 
@@ -262,24 +265,24 @@
         context.run(context.clock.sleep, 5.0)
 
 
-@then("no instance remembers a data centre without a name")
+@then("no instance keeps a data centre without a name")
 def no_empty_name(context):
     for instance in context.fleet.instances.values():
         assert "" not in instance.directory.drains.entries
 
 
-@then("no instance remembers more than {number:d} data centres")
+@then("no instance keeps more than {number:d} data centres")
 def few_names(context, number):
     for instance in context.fleet.instances.values():
         assert len(instance.directory.drains.entries) <= number
 
 
-@given("the store keeps a copy")
-@when("the store keeps a copy")
+@given("a copy of the store is saved")
+@when("a copy of the store is saved")
 def keep_copy(context):
     context.fleet.keep_copy()
 
 
-@when("the store comes back from the copy")
+@when("the store is restored from the copy")
 def come_back(context):
     context.fleet.come_back_older()
--- a/features/steps/goneserver_steps.py
+++ b/features/steps/goneserver_steps.py
@@ -1,8 +1,8 @@
-# goneserver_steps.py -- Steps about servers that are gone
+# goneserver_steps.py -- Steps about servers that have crashed
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about servers that are gone."""
+"""Steps about servers that have crashed."""
 
 import random
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
 SETTLE_MS = 1_200.0
 
 
-@given("prompts meet at an instance that knows servers {names}")
+@given("a placement coordinator that knows servers {names}")
 def desk(context, names):
     servers = tuple(
         listed_server(name, "llm", f"10.0.0.{number}:80", "a", 64, False)
@@ -54,7 +54,7 @@
     return context.desk.place(PlacementOrder(context.number, "llm", PROMPT, (), ""), "a peer")
 
 
-@when("an instance could not reach the server of its prompt")
+@when("an instance reports the server of its prompt as unreachable")
 def not_reached(context):
     context.gone = place(context).server
     context.desk.apply_note(PlacementNote(context.number, 0.0, True, gone=True), "a peer")
@@ -66,7 +66,7 @@
     assert context.gone not in chosen, chosen
 
 
-@when("{ms:d} ms go by where prompts meet")
+@when("{ms:d} ms go by at the placement coordinator")
 def at_desk(context, ms):
     context.desk_clock.run(gevent.spawn(context.desk_clock.sleep, float(ms)))
 
@@ -90,7 +90,7 @@
     context.run(context.clock.sleep, SETTLE_MS)
 
 
-@given("the first {number:d} servers that a request is sent to take no connection")
+@given("the first {number:d} servers that a request is sent to are unreachable")
 def first_down(context, number):
     upstream = context.fleet.upstream
     plain = upstream.open
--- a/features/steps/leavingserver_steps.py
+++ b/features/steps/leavingserver_steps.py
@@ -1,8 +1,8 @@
-# leavingserver_steps.py -- Steps about backend servers that say in their answers that they leave
+# leavingserver_steps.py -- Steps about backend servers that announce in answers that they leave
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about backend servers that say in their answers that they leave."""
+"""Steps about backend servers that announce in answers that they leave."""
 
 import gevent
 from behave import given, then, when
@@ -15,9 +15,9 @@
 from mountladder.notices.leaving import Leaving
 from mountladder.notices.ratelimit import UNLIMITED, RateLimit
 
-# Within this time of its return some instance follows the store again.
+# Within this time after the store answers again, an instance follows it again.
 STORE_BACK_MS = 3_000.0
-# For longer than a notice of a server that has gone is remembered.
+# Longer than the notice of a server that is no longer listed is kept.
 FORGOTTEN_MS = 660_000.0
 
 
@@ -33,8 +33,8 @@
 
 
 @when(
-    "server {server:S} says that it leaves, and {rate:d} {kind:w} requests a second come for "
-    "{ms:d} ms"
+    "server {server:S} announces that it leaves, and {rate:d} {kind:w} requests a second come "
+    "for {ms:d} ms"
 )
 def leaves(context, server, rate, kind, ms):
     follow(context)
@@ -43,8 +43,8 @@
 
 
 @when(
-    "server {server:S} says that it leaves, and {rate:d} {kind:w} requests a second come for "
-    "{ms:d} ms while {what}"
+    "server {server:S} announces that it leaves, and {rate:d} {kind:w} requests a second come "
+    "for {ms:d} ms while {what}"
 )
 def leaves_while(context, server, rate, kind, ms, what):
     service = server.partition("-")[0]
@@ -54,7 +54,7 @@
 
 
 @when(
-    "all {service:w} servers say that they leave, and {rate:d} {kind:w} requests a second "
+    "all {service:w} servers announce that they leave, and {rate:d} {kind:w} requests a second "
     "come for {ms:d} ms"
 )
 def all_leave(context, service, rate, kind, ms):
@@ -63,8 +63,8 @@
     send(context, rate, kind, ms)
 
 
-@given("server {server:S} has said that it leaves")
-@given("all {service:w} servers have said that they leave")
+@given("server {server:S} has announced that it leaves")
+@given("all {service:w} servers have announced that they leave")
 def has_said(context, server="", service=""):
     follow(context)
     context.server = server
@@ -72,7 +72,7 @@
     context.run(context.clock.sleep, 100.0)
 
 
-@then("no instance that was told sends it what came over {ms:d} ms later")
+@then("no notified instance sends it requests that come over {ms:d} ms later")
 def left_alone(context, ms):
     assert context.told
     late = [
@@ -83,7 +83,7 @@
     assert not late, (len(late), len(context.sendings), late[0])
 
 
-@then("no instance sends it what came over {ms:d} ms after any was told")
+@then("no instance sends it requests that come over {ms:d} ms after the first notice")
 def left_by_all(context, ms):
     ((server, first),) = context.first_told.items()
     late = [one for one in context.sendings if one.server == server and one.came > first + ms]
@@ -101,14 +101,14 @@
     context.run(context.clock.sleep, ms * SECOND_MS)
 
 
-@when("the store answers, and calls it ready")
+@when("the store answers, and lists it as ready")
 def calls_ready(context):
     store_answers(context)
     list_again(context)
     context.run(context.clock.sleep, SETTLE_MS)
 
 
-@when("the store comes back older, and calls it ready")
+@when("the store is restored from an older copy, and lists it as ready")
 def older_calls_ready(context):
     context.fleet.keep_copy()
     list_again(context)
@@ -116,7 +116,7 @@
     calls_ready(context)
 
 
-@when("its entry lapses, and is back")
+@when("its entry expires, and is listed again")
 def lapses(context):
     store_answers(context)
     context.fleet.servers.put(context.server, None)
@@ -125,7 +125,7 @@
     context.run(context.clock.sleep, SETTLE_MS)
 
 
-@when("a later answer does not say so")
+@when("a later answer does not repeat the notice")
 def later_answer(context):
     say(context, [context.server], [RateLimit(UNLIMITED)])
     context.run(context.clock.sleep, SETTLE_MS)
@@ -143,7 +143,7 @@
     assert context.sendings and not got, (len(got), len(context.sendings))
 
 
-@when("server {server:S} starts again, and {rate:d} {kind:w} requests a second come for {ms:d} ms")
+@when("server {server:S} restarts, and {rate:d} {kind:w} requests a second come for {ms:d} ms")
 def starts_again(context, server, rate, kind, ms):
     service, datacentre = context.servers[server]
     context.fleet.add_server(server, service, datacentre, born=7)
@@ -157,7 +157,7 @@
     assert len(got) > least, len(got)
 
 
-@when("a {which:w} server says that it leaves, and 11 minutes later another one")
+@when("a {which:w} server announces that it leaves, and 11 minutes later another one does")
 def leave_apart(context, which):
     context.book.listed = lambda: frozenset({"i-1"} if which == "listed" else ())
     for name in ("i-1", "i-2"):
@@ -171,14 +171,17 @@
     assert len(context.book.leaving) == number, context.book.leaving
 
 
-@then("all that came in the first {ms:d} ms were answered")
+@then("all requests that came in the first {ms:d} ms were answered")
 def answered_first(context, ms):
     until = min(context.first_told.values()) + ms
     ends = [context.ends[id_][0] for id_, came in context.arrived.items() if came <= until]
     assert ends and set(ends) == {200}, ends
 
 
-@then("all that came after {after:d} ms were refused within {ms:d} ms, and told when to come back")
+@then(
+    "all requests that came after {after:d} ms were refused within {ms:d} ms, with a time to "
+    "retry"
+)
 def refused_later(context, after, ms):
     late = [
         id_
@@ -191,7 +194,7 @@
     assert max(context.ended_at[id_] - context.arrived[id_] for id_ in late) <= ms
 
 
-@then("no instance that was told sends them what came over {ms:d} ms later")
+@then("no notified instance sends them requests that come over {ms:d} ms later")
 def all_left_alone(context, ms):
     left_alone(context, ms)
 
@@ -204,7 +207,7 @@
     send(context, rate, kind, ms, label="then-")
 
 
-@then("all that came then were answered")
+@then("all requests that came after that were answered")
 def all_answered(context):
     ends = [end[0] for end in context.ends.values()]
     assert ends and set(ends) == {200}, ends
@@ -221,13 +224,13 @@
     context.run(send_all)
 
 
-@then("each was refused as not run, and no piece was made")
+@then("each was refused as not run, and no piece was run")
 def refused_before_stages(context):
     assert {(end[2], end[3]) for end in context.ends.values()} == {(2008, "not_run")}
     assert not context.fleet.upstream.calls
 
 
-@when("results at {first:S} and {second:S} are given up")
+@when("results at {first:S} and {second:S} are released")
 def given_up(context, first, second):
     batcher = meeting(context, "enc").dispatch.batcher("enc")
 
@@ -242,18 +245,18 @@
     context.run(release)
 
 
-@then("only {server:S} is asked to drop any")
+@then("only {server:S} is asked to release a result")
 def only_asked(context, server):
     assert context.fleet.upstream.freed == [f"{server}/1"], context.fleet.upstream.freed
 
 
-@then("no prompt is fetched from {server:S}")
+@then("no cached prompt part is fetched from {server:S}")
 def none_fetched(context, server):
     placed = [call.source for call in context.opened]
     assert placed and server not in placed, placed.count(server)
 
 
-@when("one is told that a server leaves, and {ms:d} ms later another one")
+@when("one instance receives the notice that a server leaves, and {ms:d} ms later another one does")
 def told_two(context, ms):
     server = listed_server("i-1", "desk", "10.0.0.1:80", "a", 8, False)
 
@@ -265,7 +268,7 @@
     context.run(play)
 
 
-@then("after {ms:d} ms all of them know that it leaves, and no message is under way")
+@then("after {ms:d} ms all of them know that it leaves, and no message is in transit")
 def all_know(context, ms):
     context.run(context.clock.sleep, float(ms))
     assert context.under_way == 0, context.messages
@@ -274,8 +277,8 @@
 
 
 @when(
-    "{number:d} listed servers say that they leave, one each {ms:d} ms, and {others:d} that are "
-    "not listed"
+    "{number:d} listed servers announce that they leave, one every {ms:d} ms, and {others:d} "
+    "that are not listed"
 )
 def many_leave(context, number, ms, others):
     context.listed = {f"i-{n}" for n in range(number)}
@@ -286,7 +289,7 @@
         context.book.record(server, Leaving(), context.clock.now())
 
 
-@then("it remembers those that are listed, and {most:d} in all at least")
+@then("it keeps those that are listed, and at least {most:d} in all")
 def remembers_listed(context, most):
     assert context.listed <= set(context.book.leaving)
     assert most <= len(context.book.leaving) <= len(context.listed) + most
--- a/features/steps/quarantine_pipeline_steps.py
+++ b/features/steps/quarantine_pipeline_steps.py
@@ -1,8 +1,8 @@
-# quarantine_pipeline_steps.py -- Steps about pipelines whose input ends servers
+# quarantine_pipeline_steps.py -- Steps about pipelines whose input crashes servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about pipelines whose input ends servers."""
+"""Steps about pipelines whose input crashes servers."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 DEADLY_MS = 20.0
 
 
-@given("an input that ends every engine which works on it")
+@given("an input that crashes every engine that runs it")
 def deadly_input(context):
     for server in context.fleet.servers.values():
         server.deadly[hash_of(b'{"room":13}')] = DEADLY_MS
@@ -33,7 +33,7 @@
     context.found = context.run(send_all)
 
 
-@then("at most {number:d} engines have ended")
+@then("at most {number:d} engines have crashed")
 def engines_ended(context, number):
     ended = sum(server.starts - 1 for server in context.fleet.servers.values())
     assert 0 < ended <= number, ended
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,8 +1,8 @@
-# quarantine_steps.py -- Steps about requests that end the servers which run them
+# quarantine_steps.py -- Steps about requests that crash the servers which run them
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about requests that end the servers which run them."""
+"""Steps about requests that crash the servers which run them."""
 
 import itertools
 import random
@@ -19,20 +19,17 @@
 from mountladder_standins.serverfault import ServerFault
 
 SETTLE_MS = 700.0
-# As seen: a server ends some 60 ms after it began, and its entry lapses 3.6 s later.
+# A server crashes 60 ms after it has started the request, and its entry expires 3.6 s later.
 DEADLY_MS = 60.0
 LAPSE_MS = 3_600.0
 BODY = b"deadly"
-# By then all instances know what one has told, also over another one.
+# After this time all instances have the updates of one, also those forwarded by another.
 NEWS_MS = 20.0
-# How fast prompts are read in a long day of crashes, so that a request takes half a second.
+# The prefill rate in the scenario with many crashes, so that a request takes half a second.
 TOKENS_PER_MS = 2.0
 
 
-@given(
-    "model servers llm-1 to llm-{number:d}, which start again under new ids {ms:d} ms after they "
-    "ended"
-)
+@given("model servers llm-1 to llm-{number:d}, which restart under new ids {ms:d} ms after a crash")
 def model_servers(context, number, ms):
     upstream, clock = context.fleet.upstream, context.clock
     upstream.deadly[BODY] = DEADLY_MS
@@ -49,7 +46,7 @@
     context.took = {}
 
 
-@given("plain servers desk-1 to desk-{number:d}, which do so as well")
+@given("plain servers desk-1 to desk-{number:d}, which restart likewise")
 def plain_servers(context, number):
     add_servers(context, "desk", number)
 
@@ -72,7 +69,7 @@
 
 
 def attempt(context, name, id_, kind="stream", body=BODY):
-    """Send one attempt, and note how long it took."""
+    """Send one attempt, and record how long it took."""
     sent_at = context.clock.now()
     serve(context, name, request(id_, PATHS[kind], sent_at, body=body))
     context.took[id_] = context.clock.now() - sent_at
@@ -95,7 +92,7 @@
     context.run(send_all)
 
 
-@then("at most {number:d} servers have ended")
+@then("at most {number:d} servers have crashed")
 def ended_at_most(context, number):
     ended = context.fleet.upstream.ended
     assert len(ended) <= number, (len(ended), ended)
@@ -158,9 +155,9 @@
     send_series(context, context.fleet.instances, times, ms, kind, b"plain")
 
 
-@when("instance {name} dies {ms:d} ms after the last end")
+@when("instance {name} crashes {ms:d} ms after the last server crash")
 def dies(context, name, ms):
-    # The end was seen 800 ms ago; what it told was under way for no longer than this.
+    # The crash was detected 800 ms ago; its announcement has been in transit for no longer.
     context.fleet.instances.pop(name).close()
 
 
@@ -174,19 +171,19 @@
     context.fleet.network.cut_datacentres.add(frozenset({first, second}))
 
 
-@when("data centres {first} and {second} reach each other once more")
+@when("data centres {first} and {second} are connected again")
 def joined(context, first, second):
     context.fleet.network.cut_datacentres.discard(frozenset({first, second}))
 
 
-@given("the table of bars is {state} while servers end")
+@given("the table of bars is {state} while servers crash")
 @when("the table of bars is {state} again")
 def bars_table(context, state):
     context.fleet.bars.down = state == "down"
 
 
-@given("all instances were killed and have started again")
-@when("all instances are killed and start again")
+@given("all instances were killed and have restarted")
+@when("all instances are killed and restart")
 def all_killed(context):
     for name in list(context.fleet.instances):
         context.fleet.instances[name].close()
@@ -197,7 +194,7 @@
 
 @then("the table of bars was called at most {number:d} times")
 def bars_calls(context, number):
-    # Each process looks once at its start at most.
+    # Each process reads the table at most once, when it starts.
     assert context.fleet.bars.calls <= number, context.fleet.bars.calls
     assert len(context.fleet.bars.rows) == 1
 
@@ -218,7 +215,7 @@
     return [one.quarantine.registry for one in context.fleet.instances.values()]
 
 
-@then("nothing is suspect")
+@then("no request is suspect")
 def nothing_suspect(context):
     context.run(context.clock.sleep, NEWS_MS)
     suspects = [
@@ -227,7 +224,7 @@
     assert not suspects, suspects
 
 
-@then("nothing is barred")
+@then("no request is barred")
 def nothing_barred(context):
     barred = [one for book in books(context) for one in book.suspicions.values() if one.bars]
     assert not barred, barred
@@ -244,13 +241,13 @@
 
 
 def end_servers(context, ids):
-    """End servers as they crash by themselves."""
+    """Crash servers, without a request that causes it."""
     directory = next(iter(context.fleet.instances.values())).directory
     for id_ in ids:
         context.fleet.upstream.end(directory.records[id_].server)
 
 
-@when("all model servers end while a plain stream request is under way")
+@when("all model servers exit while a plain stream request is in flight")
 def end_all(context):
     def send_and_end():
         task = gevent.spawn(attempt, context, "a-1", "p", "stream", b"plain")
@@ -265,12 +262,12 @@
     assert context.ends["p"][3] in {"broken", "unknown"}, context.ends["p"]
 
 
-@given("no connection to a server that has ended is refused")
+@given("no connection to a crashed server is refused")
 def never_refused(context):
     context.fleet.upstream.dark = True
 
 
-@when("all model servers but {left:d} end while {number:d} plain stream requests are under way")
+@when("all model servers but {left:d} crash while {number:d} plain stream requests are in flight")
 def end_many(context, left, number):
     names = itertools.cycle(context.fleet.instances)
 
@@ -319,9 +316,11 @@
     assert max(context.took[id_] for id_ in context.attempts) <= ms
 
 
-@when("a server crashes every {ms:d} ms while {number:d} requests come, {alike:d} of them alike")
+@when(
+    "a server crashes every {ms:d} ms while {number:d} requests come, {alike:d} of them identical"
+)
 def crashes(context, ms, number, alike):
-    """Requests come every 20 ms; those that fail come again once, as their callers do."""
+    """Send a request every 20 ms; the callers of those that fail retry once."""
     rng = random.Random(5)
     context.fleet.upstream.tokens_per_ms = TOKENS_PER_MS
     upstream, fleet = context.fleet.upstream, context.fleet
@@ -361,7 +360,10 @@
     assert len(served(context, context.attempts)) > number, len(served(context, context.attempts))
 
 
-@when("{number:d} plain stream requests with one body are under way and one of their servers ends")
+@when(
+    "{number:d} plain stream requests with one body are in flight and one of their servers "
+    "crashes"
+)
 def popular(context, number):
     send_popular(context, number, "first", end=True)
 
@@ -397,9 +399,9 @@
     context.ended_before = len(context.fleet.upstream.ended)
 
 
-@given("its bar has ended")
+@given("its bar has expired")
 def bar_ended(context):
-    # All instances sleep through it, which takes no ten minutes of heartbeats.
+    # The clock jumps, so that ten minutes of heartbeats need not be played.
     context.clock.time += BAR_DURATIONS_MS[0]
     context.run(context.clock.sleep, 5_000.0)
 
@@ -415,7 +417,7 @@
     assert not context.fleet.bars.rows, context.fleet.bars.rows
 
 
-@then("one more server has ended")
+@then("one more server has crashed")
 def one_more(context):
     assert len(context.fleet.upstream.ended) == context.ended_before + 1
 
@@ -450,7 +452,7 @@
     context.run(suspect_all)
 
 
-@then("the book of {name} holds {number:d} entries, the bar among them")
+@then("the quarantine of {name} holds {number:d} entries, the bar among them")
 def book_holds(context, name, number):
     book = context.fleet.instances[name].quarantine.registry.suspicions
     assert len(book) == number, len(book)
@@ -469,7 +471,7 @@
     context.run(context.clock.sleep, SETTLE_MS)
 
 
-@then("no instance would use the server that ended")
+@then("no instance would use the crashed server")
 def none_would_use(context):
     (ended,) = context.fleet.upstream.ended
     for instance in context.fleet.instances.values():
@@ -477,7 +479,7 @@
         assert not state.usable(context.clock.now())
 
 
-@given("stage servers enc-1 to enc-{number:d}, which do so as well")
+@given("stage servers enc-1 to enc-{number:d}, which restart likewise")
 def enc_servers(context, number):
     context.fleet.upstream.deadly["deadly pieces"] = DEADLY_MS
     add_servers(context, "enc", number)
@@ -496,7 +498,7 @@
     "{number:d} others"
 )
 def deadly_pieces(context, times, ms, number):
-    """Enough others come first to keep every server busy, so that the pieces share a call."""
+    """Send enough others first to keep every server busy, so that the pieces share a call."""
     names = itertools.cycle(context.fleet.instances)
     context.others, context.attempts = [], []
 
@@ -516,13 +518,13 @@
     context.run(send_all)
 
 
-@then("all others are served")
+@then("all other requests are served")
 def others_served(context):
     lost = set(context.others) - set(served(context, context.others))
     assert not lost, [context.ends[id_] for id_ in lost]
 
 
-@when("{number:d} requests with stages are under way and their stage server ends")
+@when("{number:d} requests with stages are in flight and their stage server crashes")
 def stage_server_ends(context, number):
     names = itertools.cycle(context.fleet.instances)
     context.attempts = [f"s{n}" for n in range(number)]
@@ -544,12 +546,12 @@
     assert len(calls) <= number, [(one.server, len(one.pieces)) for one in calls]
 
 
-@then("the last one had no pieces of others")
+@then("the call that crashed the last server held no pieces of other requests")
 def alone(context):
     upstream = context.fleet.upstream
     last = [one for one in upstream.calls if one.server == upstream.ended[-1]][-1]
     assert {piece.key for piece in last.pieces} == {"deadly pieces"}, last
-    # The first one had, so that this tells something.
+    # The first call did hold pieces of others, so that the check above is not vacuous.
     first = [one for one in upstream.calls if one.server == upstream.ended[0]][-1]
     assert len({piece.key for piece in first.pieces}) > 1, first
 
@@ -560,7 +562,7 @@
         instance.settings = replace(instance.settings, retry_reserve=float(number))
 
 
-@given("the instance that does not follow the store and is sent the request cannot write bars")
+@given("the instance that gets the request does not follow the store and cannot write bars")
 def cannot_write(context):
     instances = context.fleet.instances
     context.sent_to = next(
@@ -576,7 +578,7 @@
     send_series(context, [context.sent_to], times, ms)
 
 
-@given("the table of bars holds one that was over {hours:d} hours ago and one that is in force")
+@given("the table of bars holds one that expired {hours:d} hours ago and one that is in force")
 def old_bars(context, hours):
     wall = context.clock.wall()
     for mark, at in (
@@ -592,12 +594,12 @@
     assert list(context.fleet.bars.rows) == ["0b" * 16], context.fleet.bars.rows
 
 
-@then("the table of bars holds it")
+@then("the table of bars holds its suspicion")
 def holds_it(context):
     assert len(context.fleet.bars.rows) == 1, context.fleet.bars.rows
 
 
-@when("{number:d} bars come at once on an instance")
+@when("an instance has {number:d} bars to write at once")
 def bars_at_once(context, number):
     context.run(context.clock.sleep, 1_000.0)
     instance = next(iter(context.fleet.instances.values()))
--- a/features/steps/restingserver_steps.py
+++ b/features/steps/restingserver_steps.py
@@ -1,8 +1,8 @@
-# restingserver_steps.py -- Steps about backend servers that ask for rest
+# restingserver_steps.py -- Steps about backend servers that ask for a back-off
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about backend servers that ask for rest."""
+"""Steps about backend servers that ask for a back-off."""
 
 import gevent
 from behave import given, then, when
@@ -13,16 +13,16 @@
 from mountladder.forwarding.ranking import prompts_topic
 from mountladder.notices.backoff import BackOff
 
-# How soon after a refusal the rest that it asks for counts (the users' bound).
+# How soon after a refusal its back-off must be kept.
 REST_AFTER_MS = 500.0
 RESTING = 2013
-# Half of the aim of the routes in use here, for which a request may wait.
+# Half of the latency target of the routes in use here, for which a request may wait.
 WAITS_MS = 300.0
 
 
 @when(
-    "server {server} refuses each second request for a rest of {rest_ms:d} ms, and {rate:d} {kind} "
-    "requests a second come for {ms:d} ms"
+    "server {server} refuses every second request with a back-off of {rest_ms:d} ms, and "
+    "{rate:d} {kind} requests a second come for {ms:d} ms"
 )
 def refuses(context, server, rest_ms, rate, kind, ms):
     follow(context)
@@ -32,8 +32,8 @@
 
 
 @when(
-    "server {server:S} refuses each second request for a rest of {rest_ms:d} ms, and {rate:d} "
-    "{kind:w} requests a second come for {ms:d} ms while {what}"
+    "server {server:S} refuses every second request with a back-off of {rest_ms:d} ms, and "
+    "{rate:d} {kind:w} requests a second come for {ms:d} ms while {what}"
 )
 def refuses_while(context, server, rest_ms, rate, kind, ms, what):
     service = server.partition("-")[0]
@@ -43,7 +43,7 @@
 
 
 @when(
-    "all {service:w} servers refuse all requests for a rest of {rest_ms:d} ms, and {rate:d} "
+    "all {service:w} servers refuse all requests with a back-off of {rest_ms:d} ms, and {rate:d} "
     "{kind:w} requests a second come for {ms:d} ms"
 )
 def all_refuse(context, service, rest_ms, rate, kind, ms):
@@ -55,13 +55,13 @@
     send(context, rate, kind, ms)
 
 
-@when("they refuse none any more")
+@when("they stop refusing requests")
 def refuse_none(context):
     context.fleet.upstream.refuses_part.clear()
 
 
 def all_rest_at(context, instance):
-    """Return from when to when all servers want rest from an instance."""
+    """Return the start and end of the time in which all servers' back-offs bind an instance."""
     asked = [one for one in context.asked if one.instance == instance]
     first = {server: [one for one in asked if one.server == server][:1] for server in context.all}
     if not all(first.values()):
@@ -71,9 +71,9 @@
 
 
 def refused_in_rest(context):
-    """Return the ids of those refused while all servers wanted rest, with when that ended.
+    """Return when the back-offs ended, by id of the requests refused while all servers had one.
 
-    Who comes shortly before its end waits for it.
+    Requests that come shortly before the end wait for it.
     """
     found = {}
     for id_, end in context.ends.items():
@@ -83,7 +83,7 @@
     return found
 
 
-@then("whoever was refused by an instance that all had asked for rest was refused within {ms:d} ms")
+@then("an instance that all had asked to back off refused requests within {ms:d} ms")
 def refused_at_once(context, ms):
     refused = refused_in_rest(context)
     assert len(refused) >= 10, (len(refused), len(context.ends))
@@ -93,14 +93,14 @@
     assert max(took.values()) <= ms, took
 
 
-@then("each was told to come back after the rest, and not over {ms:d} ms later")
+@then("each was told to retry after the back-off, and not over {ms:d} ms later")
 def told_true(context, ms):
     for id_, until in refused_in_rest(context).items():
         back_at = context.ended_at[id_] + context.ends[id_][4].retry_after_ms
         assert until - 1.0 <= back_at <= until + ms, (id_, until, back_at)
 
 
-@then("whoever was refused after all had asked was told to come back after the rest")
+@then("every request refused after all had asked was told to retry after the back-off")
 def refused_after(context):
     for id_, end in context.ends.items():
         since, until = all_rest_at(context, id_.split("/")[0])
@@ -109,7 +109,7 @@
             assert back_at >= until - 1.0, (id_, end[2], until, back_at)
 
 
-@then("no two of an instance were told to come back at the same time")
+@then("no two requests of an instance were told to retry at the same time")
 def told_apart(context):
     times = [
         (id_.split("/")[0], round(context.ended_at[id_] + context.ends[id_][4].retry_after_ms))
@@ -118,7 +118,7 @@
     assert len(set(times)) == len(times), sorted(times)
 
 
-@when("whoever was refused for that comes back when it was told")
+@when("the callers refused for that retry when they were told to")
 def come_back(context):
     refused = {id_: end for id_, end in context.ends.items() if end[2] == RESTING}
     backs = {id_: context.ended_at[id_] + end[4].retry_after_ms for id_, end in refused.items()}
@@ -134,14 +134,14 @@
     assert len(context.ends) == len(backs) > 10
 
 
-@then("over {part:d} of 100 of those who came back were served")
+@then("over {part:d} of 100 of these retries were served")
 def back_answered(context, part):
     served = sum(end[0] == 200 for end in context.ends.values())
     assert served > part / 100 * len(context.ends), (served, len(context.ends))
 
 
 def ask_for_rest(context, servers, rest_ms, instances):
-    """Have instances hear that servers want rest."""
+    """Have instances receive back-offs from servers."""
     follow(context)
     context.server = servers[0]
     for instance in instances:
@@ -150,39 +150,39 @@
             instance.notices.dispatch(found, [BackOff(float(rest_ms))], context.clock.now())
 
 
-@given("all {service:w} servers have asked each instance for a rest of {rest_ms:d} ms")
-@given("server {server:S} has asked each instance for a rest of {rest_ms:d} ms")
+@given("all {service:w} servers have asked each instance for a back-off of {rest_ms:d} ms")
+@given("server {server:S} has asked each instance for a back-off of {rest_ms:d} ms")
 def has_asked(context, rest_ms, service="", server=""):
     servers = [server] if server else of_service(context, service)
     ask_for_rest(context, servers, rest_ms, list(context.fleet.instances.values()))
 
 
-@given("server {server:S} has asked the instance where its work meets for a rest of {rest_ms:d} ms")
+@given("server {server:S} has asked the placement coordinator for a back-off of {rest_ms:d} ms")
 def has_asked_meeting(context, server, rest_ms):
     context.asked_one = meeting(context, prompts_topic(server.partition("-")[0]))
     ask_for_rest(context, [server], rest_ms, [context.asked_one])
 
 
-@then("each was refused with {code:d} as not run, and no piece was made")
+@then("each was refused with {code:d} as not run, and no piece was run")
 def refused_with(context, code):
     assert {(end[2], end[3]) for end in context.ends.values()} == {(code, "not_run")}, context.ends
     assert not context.fleet.upstream.calls
 
 
-@then("where its pieces meet new ones are expected to wait {least:d} to {most:d} ms")
+@then("the service's coordinator expects new pieces to wait {least:d} to {most:d} ms")
 def expected_wait(context, least, most):
     batcher = meeting(context, "enc").dispatch.batcher("enc")
     waits_ms = batcher.compute_backlog(context.clock.now()).waits_ms
     assert least <= min(waits_ms) and max(waits_ms) <= most, waits_ms
 
 
-@then("server {server:S} gets requests, but none from that one")
+@then("server {server:S} gets requests, but none from the placement coordinator")
 def others_use(context, server):
     by = {one.instance for one in context.sendings if one.server == server}
     assert by and context.asked_one.settings.name not in by, by
 
 
-@when("it asks for one of {rest_ms:d} ms")
+@when("it asks for a back-off of {rest_ms:d} ms")
 def asks_shorter(context, rest_ms):
     for instance in context.fleet.instances.values():
         found = instance.directory.find(context.server)
@@ -190,7 +190,7 @@
     context.run(context.clock.sleep, 2.0 * rest_ms)
 
 
-@when("a call to it that was under way ends well")
+@when("a call to it that was in flight succeeds")
 def ends_well(context):
     for instance in context.fleet.instances.values():
         state = instance.router.state(instance.directory.find(context.server))
@@ -199,30 +199,30 @@
         state.breaker.succeed()
 
 
-@when("it has been listed anew")
+@when("it has been listed again")
 def listed_anew(context):
     list_again(context)
     context.run(context.clock.sleep, SETTLE_MS)
 
 
-@then("server {server:S} gets some")
+@then("server {server:S} gets requests")
 def gets_some(context, server):
     assert [one for one in context.sendings if one.server == server]
 
 
-@then("{server:S} is asked to drop its result")
+@then("{server:S} is asked to release its result")
 def asked_to_drop(context, server):
     assert f"{server}/2" in context.fleet.upstream.freed, context.fleet.upstream.freed
 
 
-@given("server {server:S} refuses each request for a rest of {rest_ms:d} ms")
+@given("server {server:S} refuses every request with a back-off of {rest_ms:d} ms")
 def refuses_each(context, server, rest_ms):
     follow(context)
     context.fleet.upstream.refuses_part[server] = 1
     context.fleet.upstream.rests[server] = float(rest_ms)
 
 
-@then("no server gets requests from an instance within a rest it asked that one for")
+@then("no server gets requests from an instance during a back-off that it asked that instance for")
 def rests_kept(context):
     assert context.asked
     broken = [
--- a/features/steps/serverlimit_steps.py
+++ b/features/steps/serverlimit_steps.py
@@ -1,8 +1,8 @@
-# serverlimit_steps.py -- Steps about backend servers that name how much they take
+# serverlimit_steps.py -- Steps about backend servers that limit their request rate
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about backend servers that name how much they take."""
+"""Steps about backend servers that limit their request rate."""
 
 from collections import OrderedDict
 from dataclasses import replace
@@ -46,14 +46,15 @@
 from mountladder.routing.serverdelays import ServerDelays
 
 SETTLE_MS = 1_500.0
-# The users' bound: from so long after a server first named its limit it gets in any span of so many
-# seconds half as much again as it named and five more, over all instances.
+# The bound: from TOLD_MS after a server first announced its limit, it gets in any span of SPAN_S at
+# most half as many requests again as it announced and five more, over all instances.
 TOLD_MS = 3_000.0
 SPAN_S = 4.0
 OVERSHOOT, BURST = 1.5, 5
-# By when all instances know of a limit: the first requests have had their stages and an answer.
+# After this time all instances know of a limit: the first requests have run their stages and have
+# been answered.
 KNOWN_MS = 700.0
-# The aim of the routes in use here.
+# The latency target of the routes in use here.
 AIM_MS = 600.0
 
 
@@ -70,7 +71,7 @@
 
 
 def watch_frees(context):
-    """Note which servers are asked to give up results."""
+    """Record which servers are asked to release results."""
     plain = context.fleet.upstream.free
 
     def free(server, handles, heard):
@@ -81,7 +82,7 @@
 
 
 def send(context, rate, kind, ms, keys=("k",), label=""):
-    """Send requests at a steady rate, with prompts of twelve subjects, of some teams in turn."""
+    """Send requests at a steady rate, with prompts of 12 subjects, for each team key in turn."""
     context.rate, context.kind, context.series_at = rate, kind, context.clock.now()
 
     def fields(n):
@@ -96,14 +97,14 @@
 
 
 def name_limit(context, server, per_s):
-    """Have a server name a limit from now on."""
+    """Have a server announce a limit from now on."""
     context.fleet.upstream.limits[server] = per_s
     context.named.setdefault(server, []).append((context.clock.now(), per_s))
 
 
 @when(
-    "server {server} names {per_s:g} request a second, and {rate:d} {kind} requests a second come "
-    "for {ms:d} ms"
+    "server {server} announces a limit of {per_s:g} request a second, and {rate:d} {kind} "
+    "requests a second come for {ms:d} ms"
 )
 def names_limit(context, server, per_s, rate, kind, ms):
     name_limit(context, server, per_s)
@@ -111,7 +112,7 @@
 
 
 def arrivals(context, server):
-    """Return when requests came to a server; a call with pieces is one."""
+    """Return when requests came to a server; a call with pieces counts as one."""
     return [at for at, name, _, _ in context.sent if name == server]
 
 
@@ -126,7 +127,7 @@
 
 
 def limited(context):
-    """Return the servers that named a limit, with when they first did and the highest."""
+    """Return when each server first announced a limit, and its highest limit, by server."""
     return {
         name: (words[0][0], max(per_s for _, per_s in words))
         for name, words in context.named.items()
@@ -138,8 +139,8 @@
 
 
 @when(
-    "all {service:w} servers name {per_s:g} requests a second, and {rate:d} {kind:w} requests a "
-    "second come for {ms:d} ms"
+    "all {service:w} servers announce a limit of {per_s:g} requests a second, and {rate:d} "
+    "{kind:w} requests a second come for {ms:d} ms"
 )
 def all_name(context, service, per_s, rate, kind, ms):
     for server in of_service(context, service):
@@ -149,8 +150,8 @@
 
 
 @when(
-    "all {service:w} servers name {per_s:g} requests a second, and {rate:d} {kind:w} requests a "
-    "second come for {ms:d} ms while {what}"
+    "all {service:w} servers announce a limit of {per_s:g} requests a second, and {rate:d} "
+    "{kind:w} requests a second come for {ms:d} ms while {what}"
 )
 def all_name_while(context, service, per_s, rate, kind, ms, what):
     context.topic = service if service == "enc" else prompts_topic(service)
@@ -165,7 +166,7 @@
     context.run(context.clock.sleep, SETTLE_MS)
 
 
-@then("over {part:d} of 100 of what they take was used")
+@then("over {part:d} of 100 of the requests that the limits allow were sent")
 def used(context, part):
     for server, (since, per_s) in limited(context).items():
         got = [at for at in arrivals(context, server) if at >= since + TOLD_MS]
@@ -174,15 +175,15 @@
 
 
 def known_ends(context):
-    """Return how requests ended that came once all instances knew of the limits, by id.
+    """Return the outcomes of requests that came once all instances knew of the limits, by id.
 
-    Who came before was let in as if there were none.
+    Earlier requests were admitted as if there were no limits.
     """
     known_at = min(since for since, _ in limited(context).values()) + KNOWN_MS
     return {id_: end for id_, end in context.ends.items() if context.arrived[id_] >= known_at}
 
 
-@then("whoever was not served was told that nothing ran, and when to come back")
+@then("every request that was not served was reported as not run, with a time to retry")
 def told_when(context):
     lost = [end for end in known_ends(context).values() if end[0] != 200]
     assert lost and {end[3] for end in lost} == {"not_run"}, {end[2:4] for end in lost}
@@ -196,23 +197,23 @@
     assert took and in_time > part / 100 * len(took), (in_time, len(took))
 
 
-@then("those of data centre {there:w} sent over {least:d} requests behind the cut")
+@then("the instances of data centre {there:w} sent over {least:d} requests while cut off")
 def sent_behind(context, there, least):
     since = context.series_at + EVENT_MS + SECOND_MS
     sent = [one for one in context.sent if one[0] >= since and one[3].startswith(f"{there}-")]
     assert len(sent) > least, len(sent)
 
 
-@then("calls held {least:d} pieces or more on the average")
+@then("calls held {least:d} pieces or more on average")
 def fuller(context, least):
     calls = [n for at, server, n, _ in context.sent if server.startswith("enc-")]
     late = calls[len(calls) // 2 :]
     assert sum(late) >= least * len(late), (sum(late), len(late))
 
 
-@given("server {server} has named {per_s:g} request a second")
-@given("server {server} has named {per_s:g} requests a second")
-@given("all {service:w} servers have named {per_s:g} request a second")
+@given("server {server} has announced a limit of {per_s:g} request a second")
+@given("server {server} has announced a limit of {per_s:g} requests a second")
+@given("all {service:w} servers have announced a limit of {per_s:g} request a second")
 def has_named(context, per_s, server="", service=""):
     for one in [server] if server else of_service(context, service):
         name_limit(context, one, per_s)
@@ -222,20 +223,20 @@
     context.run(context.clock.sleep, 100.0)
 
 
-@when("an instance starts while the store is out of reach")
+@when("an instance starts while the store is unreachable")
 def starts_without_store(context):
     context.fleet.catalogue.down = context.fleet.servers.down = True
     context.new = context.fleet.start("a-new")
 
 
-@then("it knows within {ms:d} ms that {server} takes {per_s:g} a second")
+@then("it knows within {ms:d} ms that {server} has a limit of {per_s:g} a second")
 def knows(context, ms, server, per_s):
     context.run(context.clock.sleep, float(ms))
     assert context.new.limits.registry.per_s(server) == per_s
     assert context.new.limits.leadership.fraction("any topic") < 1.0
 
 
-@when("it names {word}, and they come for {ms:d} ms more")
+@when("its limit becomes {word}, and they come for {ms:d} ms more")
 def names_another(context, word, ms):
     server = next(iter(context.named))
     if word == "none":
@@ -258,24 +259,24 @@
 
 
 def lately(context):
-    """Return when the server got requests of the last series."""
+    """Return when the server got requests of the last series of requests."""
     server = next(iter(context.named))
     return [at for at in arrivals(context, server) if at >= context.series_at]
 
 
-@then("no instance takes it to be limited")
+@then("no instance considers it limited")
 def none_limited(context):
     server = next(iter(context.named))
     none_takes(context, server)
 
 
-@then("no instance takes {server} to be limited")
+@then("no instance considers {server} limited")
 def none_takes(context, server):
     for instance in context.fleet.instances.values():
         assert instance.limits.registry.per_s(server) == UNLIMITED, instance.settings.name
 
 
-@then("each server got a request in its last {ms:d} ms")
+@then("each server got a request in the last {ms:d} ms")
 def got_lately(context, ms):
     for server in context.named:
         last = max(arrivals(context, server))
@@ -283,7 +284,7 @@
 
 
 @when(
-    "server {server} starts again without a limit, and {rate:d} {kind} requests a second come for "
+    "server {server} restarts without a limit, and {rate:d} {kind} requests a second come for "
     "{ms:d} ms"
 )
 def starts_again(context, server, rate, kind, ms):
@@ -294,7 +295,9 @@
     send(context, rate, kind, ms)
 
 
-@when("nothing comes for {seconds:d} s, and then {rate:d} {kind} requests a second for {ms:d} ms")
+@when(
+    "no requests come for {seconds:d} s, and then {rate:d} {kind} requests a second for {ms:d} ms"
+)
 def pause_then(context, seconds, rate, kind, ms):
     context.run(context.clock.sleep, seconds * SECOND_MS)
     send(context, rate, kind, ms)
@@ -306,7 +309,10 @@
     assert sum(got.values()) and max(got.values()) <= most, got
 
 
-@when("nothing comes for {minutes:d} minutes, and then {server} names {per_s:g} a second")
+@when(
+    "no requests come for {minutes:d} minutes, and then {server} announces a limit of {per_s:g} "
+    "a second"
+)
 def nothing_comes(context, minutes, server, per_s):
     count_for(context, *context.named)
     context.run(context.clock.sleep, minutes * 60_000.0)
@@ -314,8 +320,8 @@
 
 
 @when(
-    "all {service:w} servers name {per_s:g} requests a second, and {rate:d} urgent and {other:d} "
-    "other {kind:w} requests a second come for {ms:d} ms"
+    "all {service:w} servers announce a limit of {per_s:g} requests a second, and {rate:d} "
+    "urgent and {other:d} other {kind:w} requests a second come for {ms:d} ms"
 )
 def two_ranks(context, service, per_s, rate, other, kind, ms):
     for server in of_service(context, service):
@@ -328,8 +334,8 @@
 
 
 @then(
-    "over {part:d} of 100 urgent ones were answered, and more than {times:d} times as many as of "
-    "the others"
+    "over {part:d} of 100 urgent requests were answered, and more than {times:d} times as many "
+    "as of the others"
 )
 def urgent_first(context, part, times):
     ends = list(context.ends.items())
@@ -339,7 +345,10 @@
     assert urgent > times * other, (urgent, other)
 
 
-@when("whoever was refused in the last {ms:d} ms comes back when it was told, alone")
+@when(
+    "the callers refused in the last {ms:d} ms retry when they were told to, with no other "
+    "requests"
+)
 def come_back(context, ms):
     since = max(context.ended_at.values()) - ms
     told = {
@@ -364,14 +373,14 @@
     context.run(all_back)
 
 
-@then("over {part:d} of 100 of those that came back were answered")
+@then("over {part:d} of 100 of the retries were answered")
 def back_answered(context, part):
     good = sum(status == 200 for status in context.back.values())
     assert good > part / 100 * len(context.back), (good, len(context.back))
 
 
 def wait_for_turn(context, then):
-    """Have a request wait for its turn at a server; run a function with it, its task and server."""
+    """Have a request wait for its reserved slot, and call a function with its task and server."""
     name = next(iter(context.fleet.instances))
     instance = context.fleet.instances[name]
 
@@ -393,7 +402,7 @@
     context.run(play)
 
 
-@when("a caller of an instance leaves while it waits for its turn")
+@when("a caller disconnects while its request waits for its reserved slot")
 def leaves_waiting(context):
     wait_for_turn(context, lambda task, server: task.kill())
 
@@ -405,7 +414,7 @@
     assert not context.instance.forwarder.context.picker.placer.placed_by
 
 
-@when("the server is drained at which a request waits for its turn")
+@when("the server is drained at which a request waits for its reserved slot")
 def drained_waiting(context):
     def drain(task, server):
         service, datacentre = context.servers[server]
@@ -415,9 +424,9 @@
     wait_for_turn(context, drain)
 
 
-@when("a request waits for its turn, and its server {what}")
+@when("a request waits for its reserved slot, and its server {what}")
 def says_waiting(context, what):
-    notice = {"leaves": Leaving(), "asks for rest": BackOff(5_000.0)}[what]
+    notice = {"leaves": Leaving(), "asks for a back-off": BackOff(5_000.0)}[what]
 
     def say(task, server):
         for one in context.fleet.instances.values():
@@ -435,7 +444,10 @@
     assert arrived and context.drained not in arrived, (arrived, context.drained)
 
 
-@given("a server has named {per_s} a second in an answer from {sent:d} to {seen:d} ms")
+@given(
+    "a server has announced a limit of {per_s} in an answer to a request sent at {sent:d} ms and "
+    "answered at {seen:d} ms"
+)
 def book_named(context, per_s, sent, seen):
     context.book = NoticeRegistry(context.clock, MemoryMetrics())
     context.server = listed_server("i-1", "desk", "10.0.0.1:80", "a", 8, False)
@@ -444,13 +456,16 @@
     answer_named(context, sent, seen, per_s)
 
 
-@when("one from {sent:d} to {seen:d} ms names {per_s}")
+@when(
+    "the answer to a request sent at {sent:d} ms and answered at {seen:d} ms announces a limit "
+    "of {per_s}"
+)
 def answer_named(context, sent, seen, per_s):
     context.clock.time = 1_000.0 + seen
     context.book.record(context.server, RateLimit(_limit(per_s)), 1_000.0 + sent)
 
 
-@then("it is taken to take {per_s}")
+@then("its limit in force is {per_s}")
 def taken_to(context, per_s):
     assert context.book.per_s("i-1") == _limit(per_s), context.book.limits
 
@@ -459,7 +474,7 @@
     return UNLIMITED if text == "none" else float(text)
 
 
-@given("{number:d} instances in a ring, with links of {ms:d} ms")
+@given("{number:d} instances in a ring, with link delays of {ms:d} ms")
 def ring(context, number, ms):
     context.books = [NoticeRegistry(context.clock, MemoryMetrics()) for n in range(number)]
     context.messages = 0
@@ -482,7 +497,10 @@
         book.on_announce = lambda words, source, n=n: tell(n, words, source)
 
 
-@when("one is told a limit of {first:g}, and {ms:d} ms later another one a limit of {second:g}")
+@when(
+    "one instance receives a limit of {first:g}, and {ms:d} ms later another one a limit of "
+    "{second:g}"
+)
 def told_two(context, first, ms, second):
     server = listed_server("i-1", "desk", "10.0.0.1:80", "a", 8, False)
 
@@ -495,7 +513,7 @@
     context.run(play)
 
 
-@when("one is told a limit of {per_s:g} while its links are down, and each second again")
+@when("one instance receives a limit of {per_s:g} while its links are down, and again each second")
 def told_in_vain(context, per_s):
     server = listed_server("i-1", "desk", "10.0.0.1:80", "a", 8, False)
     book = context.books[0]
@@ -511,14 +529,14 @@
     context.run(play)
 
 
-@then("after {ms:d} ms all of them hold the same, and no message is under way")
+@then("after {ms:d} ms all instances hold the same limit, and no message is in transit")
 def hold_same(context, ms):
     none_under_way(context, ms)
     held = {book.per_s("i-1") for book in context.books}
     assert len(held) == 1 and held != {UNLIMITED}, held
 
 
-@then("after {ms:d} ms no message is under way")
+@then("after {ms:d} ms no message is in transit")
 def none_under_way(context, ms):
     context.run(context.clock.sleep, float(ms))
     assert context.under_way == 0, context.messages
@@ -530,7 +548,7 @@
     context.book = NoticeRegistry(context.clock, MemoryMetrics())
 
 
-@when("{number:d} servers name a limit, one each {ms:d} ms")
+@when("{number:d} servers announce a limit, one every {ms:d} ms")
 def many_name(context, number, ms):
     for n in range(number):
         context.clock.time += ms
@@ -539,25 +557,25 @@
     context.number = number
 
 
-@then("it remembers the last {most:d}")
+@then("it keeps the last {most:d} limits")
 def remembers(context, most):
     expected = {f"i-{n}" for n in range(context.number - most, context.number)}
     assert set(context.book.limits) == expected, len(context.book.limits)
 
 
-@then("results are given up in less than half as many calls as pieces are made there")
+@then("results are released in less than half as many calls as run pieces there")
 def few_frees(context):
     calls = [one for one in context.sent if one[1].startswith("enc-")]
     assert len(context.free_calls) < len(calls) / 2, (len(context.free_calls), len(calls))
 
 
-@then("no server got more than its limit allows with those counted")
+@then("no server got more than its limit allows, release calls included")
 def within_with_frees(context):
     context.sent += [(at, server, 1, "") for at, server in context.free_calls]
     within_limits(context)
 
 
-@given("servers s1 and s2, of which s1 keeps {tokens:d} tokens of a prompt")
+@given("servers s1 and s2, of which s1 has cached {tokens:d} tokens of a prompt")
 def two_servers(context, tokens):
     router = Router(
         context.clock, Random(1), CostModel(), ExpectedCompletion(), MemoryMetrics(), "a"
@@ -568,13 +586,14 @@
     context.placement.cached_parts["s1"] = OrderedDict({"kept": None})
 
 
-@when("it would have to wait {first:d} ms for s1 and can wait {patience:d} ms")
+@when("the wait is {first:d} ms for s1, and the prompt can wait {patience:d} ms")
 def waits_one(context, first, patience):
     choose_between(context, {"s1": float(first)}, patience)
 
 
 @when(
-    "it would have to wait {first:d} ms for s1, {second:d} ms for s2, and can wait {patience:d} ms"
+    "the wait is {first:d} ms for s1 and {second:d} ms for s2, and the prompt can wait "
+    "{patience:d} ms"
 )
 def waits_two(context, first, second, patience):
     choose_between(context, {"s1": float(first), "s2": float(second)}, patience)
@@ -590,13 +609,13 @@
     )
 
 
-@then("s2 takes it at once, and fetches them from s1")
+@then("s2 gets it at once, and fetches the cached tokens from s1")
 def fetches(context):
     assert context.chosen.choice.state.server.name == "s2"
     assert context.chosen.plan.source == "s1", context.chosen.plan
 
 
-@when("requests that can wait {patience:d} ms ask for a turn until one is turned away")
+@when("requests that can wait {patience:d} ms are placed until one is refused")
 def ask_until(context, patience):
     desk = desk_of(meeting(context, prompts_topic("desk")))
     context.waits = []
@@ -614,17 +633,17 @@
     context.run(ask)
 
 
-@then("that one is to come back when it would wait {patience:d} ms")
+@then("its caller is told to retry when the wait is down to {patience:d} ms")
 def back_sooner(context, patience):
     wait_ms, told_ms = context.waits
     assert abs(told_ms - (wait_ms - patience)) < 1.0, context.waits
 
 
-@when("a {kind} request comes {ms:d} ms later, and the others have {calls:d} calls each")
+@when("a {kind} request comes {ms:d} ms later, and the other servers have {calls:d} calls each")
 def others_crowded(context, kind, ms, calls):
     instance = meeting(context, prompts_topic("desk"))
     picker = instance.forwarder.context.picker
-    # What may be sent counts from when somebody first wants to.
+    # The token bucket of a server fills from the first query on.
     for server in context.named:
         picker.limits.wait_ms(instance.directory.find(server), prompts_topic("desk"))
     context.run(context.clock.sleep, float(ms))
@@ -650,7 +669,7 @@
     context.run(context.clock.sleep, 100.0)
 
 
-@when("a {kind} request that can wait {patience:d} ms is to try it")
+@when("a {kind} request that can wait {patience:d} ms is due to probe it")
 def to_try(context, kind, patience):
     instance = meeting(context, prompts_topic("desk"))
     picker = instance.forwarder.context.picker
@@ -660,14 +679,14 @@
     context.chosen = context.run(picker.pick, sent, "desk", 2_000.0, wish)
 
 
-@then("another one takes it at once")
+@then("another server gets it at once")
 def goes_to_free(context):
     name = context.chosen.choice.state.server.labels[ID_LABEL]
     assert name not in {*context.named, context.cold}, name
     assert context.chosen.ready_at <= context.clock.now()
 
 
-@when("a caller of an instance leaves while its stages run")
+@when("a caller disconnects while the stages of its request run")
 def leaves_in_stages(context):
     name = next(iter(context.fleet.instances))
 
@@ -685,14 +704,15 @@
     context.run(play)
 
 
-@then("where prompts meet none is counted any more")
+@then("the placement coordinator counts no prompt any more")
 def none_counted(context):
     desk = desk_of(meeting(context, prompts_topic("llm")))
     assert not desk.placed and not desk.placement.pending_tokens, desk.placed
 
 
 @when(
-    "{number:d} staged requests come, and {ms:d} ms later all llm servers name 1 request a second"
+    "{number:d} staged requests come, and {ms:d} ms later all llm servers announce a limit of 1 "
+    "request a second"
 )
 def known_in_stages(context, number, ms):
     names = list(context.fleet.instances)
@@ -727,13 +747,13 @@
 
 
 def count_for(context, server):
-    """Have what a server may be sent yet counted where plain calls meet."""
+    """Create the token bucket of a server at the coordinator, and return all of its buckets."""
     meet = meeting(context, prompts_topic("desk"))
     meet.limits.wait_ms(meet.directory.find(server), prompts_topic("desk"))
     return meet.limits.buckets
 
 
-@then("only {server} is counted for")
+@then("only {server} has a token bucket")
 def only_counted(context, server):
     assert set(count_for(context, server)) == {server}
 
@@ -760,7 +780,7 @@
     assert good > least, (good, len(context.ends))
 
 
-@when("a staged request comes alone, {ms:d} ms later")
+@when("a single staged request comes {ms:d} ms later")
 def alone_later(context, ms):
     meet = meeting(context, "enc")
     for server in of_service(context, "enc"):
@@ -786,7 +806,7 @@
     context.run(context.clock.sleep, 300.0)
 
 
-@then("no server got more than {most:d} requests in 4 s, those counted")
+@then("no server got more than {most:d} requests in 4 s, release calls included")
 def in_span(context, most):
     for server, (since, _) in limited(context).items():
         times = [at for at in arrivals(context, server) if at >= since + TOLD_MS]
@@ -796,7 +816,8 @@
 
 
 @when(
-    "{rate:d} staged requests a second come for {ms:d} ms, and it names none for {more:d} ms more"
+    "{rate:d} staged requests a second come for {ms:d} ms, and for {more:d} ms more without a "
+    "limit"
 )
 def held_then_none(context, rate, ms, more):
     send(context, rate, "staged", ms)
@@ -807,7 +828,7 @@
     context.run(context.clock.sleep, SECOND_MS)
 
 
-@then("nothing is held back, and nothing is counted for it")
+@then("no release is held back, and the server has no token bucket")
 def none_held(context):
     meet = meeting(context, "enc")
     assert not meet.dispatch.batchers["enc"].releaser.held
