--- a/features/fleetevents.py
+++ b/features/fleetevents.py
@@ -5,14 +5,14 @@
 """Restarts, crashes and partitions of instances while requests come."""
 
 import gevent
-from forwardbasics import meeting
+from forwardbasics import find_coordinator
 
 # When the event begins, and how long an instance that is restarted is down, alone or in turn.
 EVENT_MS = 4_000.0
 DOWN_MS = 1_000.0
-TURN_MS = 500.0
+ROLLING_DOWN_MS = 500.0
 # How long the first of two partitions lasts, and how long after it the second one begins.
-TWICE_CUT_MS, TWICE_CALM_MS = 2_500.0, 33_000.0
+FIRST_CUT_MS, CUT_PAUSE_MS = 2_500.0, 33_000.0
 
 
 def restart(context, name, down_ms=DOWN_MS):
@@ -21,12 +21,12 @@
     context.fleet.start(name)
 
 
-def restart_meeting(context):
-    restart(context, meeting(context, context.topic).settings.name)
+def restart_coordinator(context):
+    restart(context, find_coordinator(context, context.topic).settings.name)
 
 
-def end_meeting(context):
-    context.fleet.instances.pop(meeting(context, context.topic).settings.name).close()
+def crash_coordinator(context):
+    context.fleet.instances.pop(find_coordinator(context, context.topic).settings.name).close()
 
 
 def cut_three(context):
@@ -37,14 +37,14 @@
         }
 
 
-def lose_meeting(context):
-    first = meeting(context, context.topic).settings.name
+def cut_half_from_coordinator(context):
+    first = find_coordinator(context, context.topic).settings.name
     others = [name for name in context.fleet.instances if name != first]
     context.fleet.network.cut_instances |= {frozenset({first, one}) for one in others[::2]}
 
 
-def two_lose_meeting(context):
-    first = meeting(context, context.topic).settings.name
+def cut_two_from_coordinator(context):
+    first = find_coordinator(context, context.topic).settings.name
     others = [name for name in context.fleet.instances if name != first]
     context.fleet.network.cut_instances |= {frozenset({first, one}) for one in others[:2]}
 
@@ -59,9 +59,9 @@
 def cut_all_twice(context):
     """Cut all instances off from each other for a while, and a second time later on."""
     cut_all(context)
-    context.clock.sleep(TWICE_CUT_MS)
+    context.clock.sleep(FIRST_CUT_MS)
     context.fleet.network.cut_instances.clear()
-    context.clock.sleep(TWICE_CALM_MS)
+    context.clock.sleep(CUT_PAUSE_MS)
     cut_all(context)
 
 
@@ -81,15 +81,15 @@
 
 def restart_in_turn(context):
     for name in list(context.fleet.instances):
-        restart(context, name, TURN_MS)
+        restart(context, name, ROLLING_DOWN_MS)
 
 
 EVENTS = {
-    "the service's coordinator is restarted": restart_meeting,
-    "the service's coordinator crashes": end_meeting,
+    "the service's coordinator is restarted": restart_coordinator,
+    "the service's coordinator crashes": crash_coordinator,
     "three instances are cut off from the others": cut_three,
-    "half of the others lose the service's coordinator": lose_meeting,
-    "two of the others lose the service's coordinator": two_lose_meeting,
+    "half of the others lose the service's coordinator": cut_half_from_coordinator,
+    "two of the others lose the service's coordinator": cut_two_from_coordinator,
     "all instances are cut off from each other, twice": cut_all_twice,
     "two more instances start": start_two,
     "all instances are restarted at once": restart_all,
--- a/features/forwardbasics.py
+++ b/features/forwardbasics.py
@@ -94,7 +94,7 @@
     return replace(plain, **fields)
 
 
-def meeting(context, topic, datacentre=""):
+def find_coordinator(context, topic, datacentre=""):
     """Return an instance that is the coordinator of a topic, in a data centre or anywhere."""
     return next(
         one
@@ -103,7 +103,7 @@
     )
 
 
-def desk_of(instance):
+def placement_coordinator(instance):
     """Return the placement coordinator of an instance."""
     return instance.forwarder.context.picker.placer.coordinator
 
@@ -112,12 +112,12 @@
     """Send a request; record its outcome (status, body, code, class, error), and when it ended."""
     context.arrived[sent.id] = sent.arrived
     try:
-        serve_whole(context, name, sent)
+        send_and_record(context, name, sent)
     finally:
         context.ended_at[sent.id] = context.clock.now()
 
 
-def serve_whole(context, name, sent):
+def send_and_record(context, name, sent):
     """Send a request and read its answer; record its outcome and the time to its first byte."""
     try:
         answer = context.fleet.send(name, sent)
@@ -136,7 +136,7 @@
     context.ends[sent.id] = (answer.status, body, 0, "", None)
 
 
-def watch(context):
+def record_sends(context):
     """Record when each server is sent requests, and by which instance."""
     context.sent = []
     upstream = context.fleet.upstream
@@ -147,9 +147,9 @@
         context.sent.append((context.clock.now(), server.labels[ID_LABEL], 1, name))
         return plain_open(server, call, limit_ms)
 
-    def run_pieces(server, pieces, limit_ms, heard):
+    def run_pieces(server, pieces, limit_ms, on_notices):
         context.sent.append((context.clock.now(), server.labels[ID_LABEL], len(pieces), ""))
-        return plain_pieces(server, pieces, limit_ms, heard)
+        return plain_pieces(server, pieces, limit_ms, on_notices)
 
     upstream.open, upstream.run_pieces = open_, run_pieces
 
@@ -181,12 +181,12 @@
     context.run(send_all)
 
 
-def most_within(times, span_ms):
+def max_within(times, span_ms):
     """Return the largest number of times within any span of a length."""
     return max((sum(at <= one < at + span_ms for one in times) for at in times), default=0)
 
 
-class QuietDispatch:
+class NullDispatch:
     """A dispatch of stages that announces no services and keeps no results."""
 
     def announce(self, notice):
@@ -205,7 +205,7 @@
         return None
 
 
-class AllWarm:
+class NoColdServers:
     """A limit for cold servers that considers no server cold."""
 
     def exhausted(self, servers, cold, topic):
--- a/features/leavingservers.feature
+++ b/features/leavingservers.feature
@@ -1,8 +1,8 @@
 @forwarding
 Feature: Backend servers that announce in their answers that they leave
   # Guards against sending requests to a server that leaves. While the store did not answer, a server
-  # could announce only in its answers that it leaves. Notified instances went on sending it requests for as
-  # long as its entry in the store listed it as ready.
+  # could announce only in its answers that it leaves. Notified instances went on sending it requests
+  # for as long as its entry in the store listed it as ready.
   Background:
     Given a fleet of 8 instances in data centres a, b, c
     And 2 servers of each of the services desk, llm, enc in data centres a, b, c
--- a/features/serversays.py
+++ b/features/noticerecorder.py
@@ -1,4 +1,4 @@
-# serversays.py -- Records notices from servers to instances, and requests sent to servers
+# noticerecorder.py -- Records notices from servers to instances, and requests sent to servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -15,66 +15,66 @@
 
 # After this time instances have acted on a notice.
 SETTLE_MS = 500.0
-Sending = namedtuple("Sending", "at server instance came")
-Asked = namedtuple("Asked", "at server instance for_ms")
+SentRequest = namedtuple("SentRequest", "at server instance arrived_at")
+RequestedBackOff = namedtuple("RequestedBackOff", "at server instance for_ms")
 
 
-def follow(context):
+def start_recording(context):
     """Record the notices that instances receive, and the requests that each sends to servers."""
-    context.told, context.first_told = {}, {}
-    context.asked, context.sendings, context.opened = [], [], []
+    context.notified_at, context.first_notified_at = {}, {}
+    context.backoffs, context.sent_requests, context.opened_calls = [], [], []
     for instance in context.fleet.instances.values():
-        follow_instance(context, instance)
+        record_instance(context, instance)
     plain_start = context.fleet.start
 
     def start(name):
         instance = plain_start(name)
-        follow_instance(context, instance)
+        record_instance(context, instance)
         return instance
 
     context.fleet.start = start
-    follow_upstream(context, context.fleet.upstream)
+    record_upstream(context, context.fleet.upstream)
 
 
-def follow_instance(context, instance):
+def record_instance(context, instance):
     """Record the notices that an instance receives."""
     plain, name = instance.notices.dispatch, instance.settings.name
 
-    def hear(server, notices, sent_at):
+    def record(server, notices, sent_at):
         now = context.clock.now()
         for one in notices:
             if isinstance(one, Leaving):
-                context.told.setdefault((name, server.name), now)
-                context.first_told.setdefault(server.name, now)
+                context.notified_at.setdefault((name, server.name), now)
+                context.first_notified_at.setdefault(server.name, now)
             elif isinstance(one, BackOff):
-                context.asked.append(Asked(now, server.name, name, one.for_ms))
+                context.backoffs.append(RequestedBackOff(now, server.name, name, one.for_ms))
         plain(server, notices, sent_at)
 
-    hear.instance = name
-    instance.notices.dispatch = hear
+    record.instance = name
+    instance.notices.dispatch = record
     # An instance that restarts may have lost the notices of its earlier run.
-    context.asked[:] = [one for one in context.asked if one.instance != name]
-    for key in [key for key in context.told if key[0] == name]:
-        del context.told[key]
+    context.backoffs[:] = [one for one in context.backoffs if one.instance != name]
+    for key in [key for key in context.notified_at if key[0] == name]:
+        del context.notified_at[key]
 
 
-def follow_upstream(context, upstream):
+def record_upstream(context, upstream):
     """Record which instance sends requests to which server, and when their callers sent them."""
     plain_open, plain_pieces = upstream.open, upstream.run_pieces
 
-    def note(server, heard, requests):
-        came = max(context.arrived[one] for one in requests)
-        sending = Sending(context.clock.now(), server.name, heard.instance, came)
-        context.sendings.append(sending)
+    def add(server, on_notices, requests):
+        arrived_at = max(context.arrived[one] for one in requests)
+        sent = SentRequest(context.clock.now(), server.name, on_notices.instance, arrived_at)
+        context.sent_requests.append(sent)
 
     def open_(server, call, limit_ms):
-        note(server, call.on_notices, [call.request.id])
-        context.opened.append(call)
+        add(server, call.on_notices, [call.request.id])
+        context.opened_calls.append(call)
         return plain_open(server, call, limit_ms)
 
-    def run_pieces(server, pieces, limit_ms, heard):
-        note(server, heard, [one.request for one in pieces])
-        return plain_pieces(server, pieces, limit_ms, heard)
+    def run_pieces(server, pieces, limit_ms, on_notices):
+        add(server, on_notices, [one.request for one in pieces])
+        return plain_pieces(server, pieces, limit_ms, on_notices)
 
     upstream.open, upstream.run_pieces = open_, run_pieces
 
@@ -95,7 +95,7 @@
     return [name for name in context.servers if name.startswith(f"{service}-")]
 
 
-def say(context, servers, notices):
+def send_notices(context, servers, notices):
     """Have the first instance receive notices from servers."""
     instance = next(iter(context.fleet.instances.values()))
     for server in servers:
--- a/features/steps/bar_steps.py
+++ b/features/steps/bar_steps.py
@@ -24,8 +24,8 @@
 from mountladder_entry.httpclient import HttpClient
 
 WALL = 1_790_000_000_000.0
-ENDS = tuple(ServerCrash(f"i-{n}", 60.0 + n, WALL + 1_000.0 * n) for n in range(3))
-BAR = Suspicion("ab" * 16, "llm", ENDS, bars=1, barred_at=WALL + 2_000.0)
+CRASHES = tuple(ServerCrash(f"i-{n}", 60.0 + n, WALL + 1_000.0 * n) for n in range(3))
+BAR = Suspicion("ab" * 16, "llm", CRASHES, bars=1, barred_at=WALL + 2_000.0)
 TOKEN = "secret"
 FAULTS = {
     "no JSON": b"{",
@@ -60,10 +60,10 @@
 
     @app.post("/mountladder/rows-tx")
     def change():
-        asked = bottle.request.json
-        assert asked["expected"] == []
-        context.rows.update({one["key"]: one["value"] for one in asked["upserts"]})
-        for one in asked["remove"]:
+        body = bottle.request.json
+        assert body["expected"] == []
+        context.rows.update({one["key"]: one["value"] for one in body["upserts"]})
+        for one in body["remove"]:
             context.rows.pop(one["key"], None)
         return {"ver": 2}
 
@@ -117,8 +117,8 @@
 
 
 def command(context, token, *words):
-    asked = ["--operator-token", token, "quarantine", context.address, *words]
-    context.result = CliRunner().invoke(main, asked)
+    arguments = ["--operator-token", token, "quarantine", context.address, *words]
+    context.result = CliRunner().invoke(main, arguments)
 
 
 @when("an operator lists them with the token")
--- a/features/steps/coldserver_steps.py
+++ b/features/steps/coldserver_steps.py
@@ -13,13 +13,13 @@
     PATHS,
     SECOND_MS,
     catalogue,
-    desk_of,
-    meeting,
-    most_within,
+    find_coordinator,
+    max_within,
+    placement_coordinator,
+    record_sends,
     request,
     send_steadily,
     serve,
-    watch,
 )
 from mountladder_platform.decoding import decode_server
 
@@ -54,7 +54,7 @@
         context.fleet.start(f"{'abc'[n % 3]}-{n}")
     context.run(context.clock.sleep, SETTLE_MS)
     context.cold_since = {}
-    watch(context)
+    record_sends(context)
 
 
 @given("{number:d} servers of each of the services desk, llm, enc in data centres a, b, c")
@@ -131,24 +131,24 @@
     ]
 
 
-@then("no cold server got more than {most:d} requests within a second")
-def within_second(context, most):
+@then("no cold server got more than {maximum:d} requests within a second")
+def within_second(context, maximum):
     for name in context.cold_since:
-        found = most_within(while_cold(context, name), SECOND_MS)
-        assert found <= most, (name, found)
+        found = max_within(while_cold(context, name), SECOND_MS)
+        assert found <= maximum, (name, found)
 
 
-@then("cold servers got over {least:d} requests a second each")
-def used(context, least):
+@then("cold servers got over {minimum:d} requests a second each")
+def used(context, minimum):
     for name in context.cold_since:
         got = len(while_cold(context, name))
-        assert got > least * 2, (name, got)
+        assert got > minimum * 2, (name, got)
 
 
-@then("over {least:d} of 100 requests were answered")
-def answered(context, least):
+@then("over {minimum:d} of 100 requests were answered")
+def answered(context, minimum):
     good = sum(end[0] == 200 and not end[2] for end in context.ends.values())
-    assert good > least / 100 * len(context.ends), (good, len(context.ends))
+    assert good > minimum / 100 * len(context.ends), (good, len(context.ends))
 
 
 @then("server {name} got no request while it was cold")
@@ -157,7 +157,7 @@
 
 
 @then("every request that was not served was reported as not run")
-def told(context):
+def refused_not_run(context):
     lost = [end for end in context.ends.values() if end[0] != 200]
     assert lost and {end[3] for end in lost} == {"not_run"}
 
@@ -165,37 +165,37 @@
 @given(
     "{number:d} instances are cut off from all others, and each considers itself the coordinator"
 )
-def cut_off(context, number):
+def isolate(context, number):
     names = list(context.fleet.instances)
-    context.cut = names[:number]
-    for name in context.cut:
+    context.isolated = names[:number]
+    for name in context.isolated:
         for other in names:
             if other != name:
                 context.fleet.network.cut_instances.add(frozenset({name, other}))
     context.run(context.clock.sleep, CUT_MS)
-    for name in context.cut:
+    for name in context.isolated:
         assert context.fleet.instances[name].fleet.coordinator(prompts_topic("llm")) is None
 
 
 @then("those {number:d} sent cold servers nothing")
-def cut_sent_nothing(context, number):
-    assert number == len(context.cut)
+def isolated_sent_nothing(context, number):
+    assert number == len(context.isolated)
     senders = {by for _, server, _, by in context.sent if server in context.cold_since}
-    assert senders and not senders & set(context.cut), senders
+    assert senders and not senders & set(context.isolated), senders
 
 
 @given("the fourth candidate for placement coordinator cannot reach the first three")
-def reaches_no_firsts(context):
+def cut_fourth_candidate(context):
     any_ = next(iter(context.fleet.instances.values()))
-    *firsts, fourth = (one.name for one in any_.fleet.coordinators.ranked(prompts_topic("llm"))[:4])
-    for first in firsts:
+    *better, fourth = (one.name for one in any_.fleet.coordinators.ranked(prompts_topic("llm"))[:4])
+    for first in better:
         context.fleet.network.cut_instances.add(frozenset({fourth, first}))
     context.run(context.clock.sleep, CUT_MS)
     context.fourth = context.fleet.instances[fourth]
 
 
 @then("it considers itself the coordinator, and yet sends cold servers nothing")
-def does_not_lead(context):
+def does_not_lead_cold(context):
     topic = prompts_topic("llm")
     assert context.fourth.fleet.coordinator(topic) is None
     assert not context.fourth.cold.leadership.leads(topic)
@@ -203,10 +203,10 @@
 
 @when("server llm-1, which a prompt would go to, becomes cold")
 def prompt_server_cold(context):
-    instance = meeting(context, prompts_topic("llm"))
-    context.desk = desk_of(instance)
+    instance = find_coordinator(context, prompts_topic("llm"))
+    context.coordinator = placement_coordinator(instance)
     order = PlacementOrder(1, "llm", UNSHARED, (), "")
-    context.first = context.desk.place(order, "a peer").server
+    context.first = context.coordinator.place(order, "a peer").server
     turn_cold(context, [context.first], born=0)
     context.run(context.clock.sleep, 100.0)
 
@@ -216,16 +216,16 @@
     "cold"
 )
 def clock_readings(context, number, few, many):
-    instance = meeting(context, prompts_topic("llm"))
-    desk = desk_of(instance)
+    instance = find_coordinator(context, prompts_topic("llm"))
+    coordinator = placement_coordinator(instance)
     plain, context.readings = context.clock.now, []
 
     def count_readings():
         """Place prompts, and return how often the cold limit read the clock, per prompt."""
         read = []
-        desk.cold.clock = SimpleNamespace(now=lambda: read.append(1) or plain())
+        coordinator.cold.clock = SimpleNamespace(now=lambda: read.append(1) or plain())
         for n in range(number):
-            desk.place(PlacementOrder(n, "llm", UNSHARED, (), ""), "a peer")
+            coordinator.place(PlacementOrder(n, "llm", UNSHARED, (), ""), "a peer")
         return len(read) / number
 
     turn_cold(context, ["llm-1"], born=0)
@@ -239,24 +239,24 @@
     context.readings.append(count_readings())
 
 
-@then("each placement read the clock at most {most:d} times")
-def few_readings(context, most):
+@then("each placement read the clock at most {maximum:d} times")
+def few_readings(context, maximum):
     before, after = context.readings
-    assert after <= most and before <= most, context.readings
+    assert after <= maximum and before <= maximum, context.readings
 
 
 @then("the prompt goes to another server")
 def goes_elsewhere(context):
-    context.desk.placement.cached_parts.clear()
-    context.desk.placement.pending_tokens.clear()
-    context.desk.placement.running_prompts.clear()
-    reply = context.desk.place(PlacementOrder(2, "llm", UNSHARED, (), ""), "a peer")
+    context.coordinator.placement.cached_parts.clear()
+    context.coordinator.placement.pending_tokens.clear()
+    context.coordinator.placement.running_prompts.clear()
+    reply = context.coordinator.place(PlacementOrder(2, "llm", UNSHARED, (), ""), "a peer")
     assert reply.server != context.first, reply
 
 
 @given("the placement coordinator and half of the other instances cannot reach each other")
-def two_homes(context):
-    first = meeting(context, prompts_topic("llm")).settings.name
+def two_coordinators(context):
+    first = find_coordinator(context, prompts_topic("llm")).settings.name
     others = [name for name in context.fleet.instances if name != first]
     for name in others[::2]:
         context.fleet.network.cut_instances.add(frozenset({name, first}))
@@ -303,14 +303,14 @@
     context.run(context.clock.sleep, 100.0)
 
 
-@then("every instance considers {name} cold for {least:d} to {most:d} ms more")
-def cold_for(context, name, least, most):
+@then("every instance considers {name} cold for {minimum:d} to {maximum:d} ms more")
+def cold_for(context, name, minimum, maximum):
     for instance in context.fleet.instances.values():
         until = instance.directory.cold_until[name]
-        assert least <= until - context.clock.now() <= most, until - context.clock.now()
+        assert minimum <= until - context.clock.now() <= maximum, until - context.clock.now()
 
 
-def taken_cold(context):
+def considered_cold(context):
     """Return what each instance considers cold, as (instance, service, data centre)."""
     found = set()
     for name, instance in context.fleet.instances.items():
@@ -322,20 +322,20 @@
 
 
 @then("every instance considers the {service} servers of data centre {there:w} cold")
-def all_take(context, service, there):
+def all_consider_cold(context, service, there):
     expected = {(name, service, there) for name in context.fleet.instances}
-    found = taken_cold(context)
+    found = considered_cold(context)
     assert expected <= found, expected - found
     assert {one[2] for one in found} == {there}
 
 
 @then("no instance considers any server cold")
-def none_takes(context):
-    assert not taken_cold(context)
+def none_considers_cold(context):
+    assert not considered_cold(context)
 
 
-@when("an entry says that the server stays cold for {told:d} ms")
-def entry_says(context, told):
+@when("an entry says that the server stays cold for {reported:d} ms")
+def entry_with_cold_time(context, reported):
     entry = {
         "service": "llm",
         "address": "10.0.0.1:80",
@@ -343,13 +343,13 @@
         "version": "v1",
         "concurrency": 8,
         "phase": "ready",
-        "cold_remaining_ms": told,
+        "cold_remaining_ms": reported,
         "sequence": 4,
     }
     row = SourceRow("i-1", json.dumps(entry).encode(), Position(0, 7))
     context.record = decode_server(row)
 
 
-@then("its record says that it is cold for {taken:d} ms")
-def taken_for(context, taken):
-    assert (context.record.cold_ms, context.record.sequence) == (taken, 4)
+@then("its record says that it is cold for {expected_ms:d} ms")
+def record_is_cold_for(context, expected_ms):
+    assert (context.record.cold_ms, context.record.sequence) == (expected_ms, 4)
--- a/features/steps/division_steps.py
+++ b/features/steps/division_steps.py
@@ -6,7 +6,7 @@
 
 import gevent
 from behave import given, then, when
-from forwardbasics import BATCH, PATHS, meeting, request, serve
+from forwardbasics import BATCH, PATHS, find_coordinator, request, serve
 
 from mountladder.clocks.virtualclock import VirtualClock
 from mountladder.forwarding.backlog import PRIORITY_CLASSES, Backlog
@@ -80,7 +80,7 @@
 
 
 def flood(context, number, name):
-    place = meeting(context, "enc", name)
+    place = find_coordinator(context, "enc", name)
     now = context.clock.now()
     context.flooded, context.flooded_at, context.place = [], now, place
 
@@ -220,7 +220,7 @@
 @when("an instance where pieces of enc meet judges after a pause of {ms:d} ms")
 def judges_late(context, ms):
     def play():
-        one = meeting(context, "enc")
+        one = find_coordinator(context, "enc")
         context.judge = one
         partitions = one.fleet.partitions
         for name in one.membership.last_seen:
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -9,7 +9,7 @@
 
 import gevent
 from behave import given, then, when
-from forwardbasics import PATHS, PROMPT, desk_of, meeting, request, serve
+from forwardbasics import PATHS, PROMPT, find_coordinator, placement_coordinator, request, serve
 from mountladder_platform.platforminstance import LINK_MS
 
 from mountladder.forwarding.datacentredrain import DatacentreDrain
@@ -17,7 +17,7 @@
 from mountladder.forwarding.ranking import prompts_topic
 from mountladder_standins.forwardfleet import DRAIN
 
-LOOK_MS = 1.0
+POLL_MS = 1.0
 
 
 def in_datacentre(context, datacentre):
@@ -39,7 +39,7 @@
 
 
 @when("data centre {datacentre:w} is undrained")
-def take_back(context, datacentre):
+def undrain(context, datacentre):
     context.fleet.take_back(datacentre)
 
 
@@ -125,7 +125,7 @@
     "instance {name} starts, which is sent {number:d} {kind} requests after the first messages "
     "of its peers"
 )
-def greets_and_serves(context, name, number, kind):
+def starts_and_serves_later(context, name, number, kind):
     start_and_serve(context, name, number, kind, LINK_MS)
 
 
@@ -133,7 +133,7 @@
     def start():
         instance = context.fleet.start(name)
         while not instance.ready:
-            context.clock.sleep(LOOK_MS)
+            context.clock.sleep(POLL_MS)
         context.clock.sleep(wait_ms)
         tasks = []
         for n in range(number):
@@ -146,7 +146,7 @@
 
 
 @when("a peer that has not received the last change sends its state to each instance")
-def late_word(context):
+def stale_update(context):
     for instance in context.fleet.instances.values():
         known = instance.directory.drains.entries["a"].position
         older = type(known)(known.era, known.version - 1)
@@ -169,12 +169,12 @@
     first = next(one for one in context.fleet.instances.values())
     server = next(s for s in first.directory.available("llm") if s.name == there)
     for instance in context.fleet.instances.values():
-        desk_of(instance).placement.cached_parts[server.name] = kept()
+        placement_coordinator(instance).placement.cached_parts[server.name] = all_parts()
     context.run(serve, context, "a-1", request("r", PATHS["resumable"], context.clock.now()))
     assert upstream.arrivals["r"][0] == there, upstream.arrivals["r"]
 
 
-def kept():
+def all_parts():
     return OrderedDict.fromkeys(part.id for part in PROMPT.parts)
 
 
@@ -190,12 +190,12 @@
 
 
 @given("the placement coordinator receives no drains")
-def deaf(context):
-    instance = meeting(context, prompts_topic("llm"))
-    context.deaf = instance.settings.name
-    desk_of(instance).placement.cached_parts["llm-1"] = kept()
-    instance.directory.drains.apply = lambda told, source: None
-    instance.directory.drains.replace = lambda told, position, source: None
+def uninformed(context):
+    instance = find_coordinator(context, prompts_topic("llm"))
+    context.uninformed = instance.settings.name
+    placement_coordinator(instance).placement.cached_parts["llm-1"] = all_parts()
+    instance.directory.drains.apply = lambda drains, source: None
+    instance.directory.drains.replace = lambda drains, position, source: None
 
 
 @when("{number:d} {kind} requests are sent to each other instance within {ms:d} ms")
@@ -205,29 +205,29 @@
             serve(context, name, request(f"{name}-{n}", PATHS[kind], context.clock.now()))
             context.clock.sleep(ms / number)
 
-    others = [name for name in context.fleet.instances if name != context.deaf]
+    others = [name for name in context.fleet.instances if name != context.uninformed]
     context.run(lambda: gevent.joinall([gevent.spawn(send_all, name) for name in others]))
 
 
 @given("model server llm-1 in a drained data centre has cached the parts of a prompt")
-def keeps_parts(context):
+def has_cached_parts(context):
     context.fleet.drain("a")
     context.run(context.clock.sleep, 60.0)
-    context.instance = meeting(context, prompts_topic("llm"))
-    desk = desk_of(context.instance)
-    desk.placement.cached_parts["llm-1"] = kept()
+    context.instance = find_coordinator(context, prompts_topic("llm"))
+    coordinator = placement_coordinator(context.instance)
+    coordinator.placement.cached_parts["llm-1"] = all_parts()
     transfer = SimpleNamespace(expected_ms=lambda tokens, far: 0.001)
-    desk.follower = SimpleNamespace(service=lambda name: SimpleNamespace(transfer=transfer))
-    context.desk = desk
+    coordinator.follower = SimpleNamespace(service=lambda name: SimpleNamespace(transfer=transfer))
+    context.coordinator = coordinator
 
 
 @when("the prompt is placed")
 def placed(context):
-    context.reply = context.desk.place(PlacementOrder(1, "llm", PROMPT, (), ""), "a peer")
+    context.reply = context.coordinator.place(PlacementOrder(1, "llm", PROMPT, (), ""), "a peer")
 
 
 @then("its parts are prefilled, not fetched")
-def read_not_fetched(context):
+def prefilled_not_fetched(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
     assert context.reply.read == PROMPT.tokens
 
@@ -238,13 +238,13 @@
 
 
 @when("the service's coordinator releases the results")
-def give_up(context):
-    meeting(context, "enc").dispatch.batcher("enc").release(context.results)
+def release_results(context):
+    find_coordinator(context, "enc").dispatch.batcher("enc").release(context.results)
     context.run(context.clock.sleep, 100.0)
 
 
 @then("only the result in data centre b is released")
-def one_given_up(context):
+def one_released(context):
     assert context.fleet.upstream.freed == ["enc-2/2"], context.fleet.upstream.freed
 
 
@@ -284,5 +284,5 @@
 
 
 @when("the store is restored from the copy")
-def come_back(context):
+def restore_store(context):
     context.fleet.come_back_older()
--- a/features/steps/goneserver_steps.py
+++ b/features/steps/goneserver_steps.py
@@ -9,7 +9,7 @@
 
 import gevent
 from behave import given, then, when
-from forwardbasics import PROMPT, AllWarm, NoLimits
+from forwardbasics import PROMPT, NoColdServers, NoLimits
 
 from mountladder.clocks.virtualclock import VirtualClock
 from mountladder.forwarding.placementcoordinator import PlacementCoordinator
@@ -26,14 +26,14 @@
 
 
 @given("a placement coordinator that knows servers {names}")
-def desk(context, names):
+def coordinator_with_servers(context, names):
     servers = tuple(
         listed_server(name, "llm", f"10.0.0.{number}:80", "a", 64, False)
         for number, name in enumerate(names.split(", "))
     )
-    context.desk_clock = VirtualClock()
+    context.coordinator_clock = VirtualClock()
     router = Router(
-        context.desk_clock,
+        context.coordinator_clock,
         random.Random(1),
         CostModel(),
         ExpectedCompletion(),
@@ -43,21 +43,23 @@
     )
     directory = SimpleNamespace(available=lambda service: servers)
     follower = SimpleNamespace(service=lambda name: None)
-    context.desk = PlacementCoordinator(
-        directory, router, context.desk_clock, follower, AllWarm(), NoLimits()
+    context.coordinator = PlacementCoordinator(
+        directory, router, context.coordinator_clock, follower, NoColdServers(), NoLimits()
     )
     context.number = 0
 
 
 def place(context):
     context.number += 1
-    return context.desk.place(PlacementOrder(context.number, "llm", PROMPT, (), ""), "a peer")
+    return context.coordinator.place(
+        PlacementOrder(context.number, "llm", PROMPT, (), ""), "a peer"
+    )
 
 
 @when("an instance reports the server of its prompt as unreachable")
-def not_reached(context):
+def report_unreachable(context):
     context.gone = place(context).server
-    context.desk.apply_note(PlacementNote(context.number, 0.0, True, gone=True), "a peer")
+    context.coordinator.apply_note(PlacementNote(context.number, 0.0, True, gone=True), "a peer")
 
 
 @then("the next {number:d} prompts go to other servers")
@@ -67,8 +69,8 @@
 
 
 @when("{ms:d} ms go by at the placement coordinator")
-def at_desk(context, ms):
-    context.desk_clock.run(gevent.spawn(context.desk_clock.sleep, float(ms)))
+def wait_at_coordinator(context, ms):
+    context.coordinator_clock.run(gevent.spawn(context.coordinator_clock.sleep, float(ms)))
 
 
 @then("1 of the next {number:d} prompts tries it again")
@@ -91,7 +93,7 @@
 
 
 @given("the first {number:d} servers that a request is sent to are unreachable")
-def first_down(context, number):
+def first_unreachable(context, number):
     upstream = context.fleet.upstream
     plain = upstream.open
 
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -12,7 +12,7 @@
 
 import gevent
 from behave import given, then, when
-from forwardbasics import PATHS, ROUTES, AllWarm, NoLimits, QuietDispatch, request, serve
+from forwardbasics import PATHS, ROUTES, NoColdServers, NoLimits, NullDispatch, request, serve
 from mountladder_platform.decoding import decode_catalogue
 
 from mountladder.clocks.virtualclock import VirtualClock
@@ -138,7 +138,7 @@
     assert len(context.queue) == 0
 
 
-class GivingUpDispatch(QuietDispatch):
+class GivingUpDispatch(NullDispatch):
     """Gives a stage up as not begun at first; one that is handed over again is done."""
 
     def __init__(self, clock):
@@ -365,7 +365,7 @@
     directory = SimpleNamespace(available=lambda service: servers)
     follower = SimpleNamespace(service=catalogue.services.get)
     context.desk = PlacementCoordinator(
-        directory, router(clock), clock, follower, AllWarm(), NoLimits()
+        directory, router(clock), clock, follower, NoColdServers(), NoLimits()
     )
     context.desk.placement.speed.tokens_per_ms = speed
 
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -11,7 +11,7 @@
 
 import gevent
 from behave import given, then, when
-from forwardbasics import QuietDispatch, request, route, serve
+from forwardbasics import NullDispatch, request, route, serve
 
 from mountladder.clocks.virtualclock import VirtualClock
 from mountladder.errors import RefusalError
@@ -272,7 +272,7 @@
     assert round(context.waits[FIRST_CLASS_GIVING_WAY]) == ms, context.waits
 
 
-class WaitingDispatch(QuietDispatch):
+class WaitingDispatch(NullDispatch):
     """Stands for the dispatch of stages while pieces wait."""
 
     def __init__(self):
--- a/features/steps/leavingserver_steps.py
+++ b/features/steps/leavingserver_steps.py
@@ -7,8 +7,8 @@
 import gevent
 from behave import given, then, when
 from fleetevents import EVENT_MS, EVENTS
-from forwardbasics import PATHS, SECOND_MS, meeting, request, serve
-from serversays import SETTLE_MS, follow, list_again, of_service, say, send
+from forwardbasics import PATHS, SECOND_MS, find_coordinator, request, serve
+from noticerecorder import SETTLE_MS, list_again, of_service, send, send_notices, start_recording
 
 from mountladder.forwarding.ranking import prompts_topic
 from mountladder.forwarding.serverrecord import listed_server
@@ -37,7 +37,7 @@
     "for {ms:d} ms"
 )
 def leaves(context, server, rate, kind, ms):
-    follow(context)
+    start_recording(context)
     context.fleet.upstream.leaving.add(server)
     send(context, rate, kind, ms)
 
@@ -58,36 +58,38 @@
     "come for {ms:d} ms"
 )
 def all_leave(context, service, rate, kind, ms):
-    follow(context)
+    start_recording(context)
     context.fleet.upstream.leaving.update(of_service(context, service))
     send(context, rate, kind, ms)
 
 
 @given("server {server:S} has announced that it leaves")
 @given("all {service:w} servers have announced that they leave")
-def has_said(context, server="", service=""):
-    follow(context)
+def has_announced(context, server="", service=""):
+    start_recording(context)
     context.server = server
-    say(context, [server] if server else of_service(context, service), [Leaving()])
+    send_notices(context, [server] if server else of_service(context, service), [Leaving()])
     context.run(context.clock.sleep, 100.0)
 
 
 @then("no notified instance sends it requests that come over {ms:d} ms later")
-def left_alone(context, ms):
-    assert context.told
+def not_used_by_notified(context, ms):
+    assert context.notified_at
     late = [
         one
-        for one in context.sendings
-        if one.came > context.told.get((one.instance, one.server), float("inf")) + ms
+        for one in context.sent_requests
+        if one.arrived_at > context.notified_at.get((one.instance, one.server), float("inf")) + ms
     ]
-    assert not late, (len(late), len(context.sendings), late[0])
+    assert not late, (len(late), len(context.sent_requests), late[0])
 
 
 @then("no instance sends it requests that come over {ms:d} ms after the first notice")
-def left_by_all(context, ms):
-    ((server, first),) = context.first_told.items()
-    late = [one for one in context.sendings if one.server == server and one.came > first + ms]
-    assert not late, (len(late), len(context.sendings), late[0])
+def not_used_by_any(context, ms):
+    ((server, first),) = context.first_notified_at.items()
+    late = [
+        one for one in context.sent_requests if one.server == server and one.arrived_at > first + ms
+    ]
+    assert not late, (len(late), len(context.sent_requests), late[0])
 
 
 @then("it knows within {ms:d} ms that {server} leaves")
@@ -102,22 +104,22 @@
 
 
 @when("the store answers, and lists it as ready")
-def calls_ready(context):
+def lists_ready(context):
     store_answers(context)
     list_again(context)
     context.run(context.clock.sleep, SETTLE_MS)
 
 
 @when("the store is restored from an older copy, and lists it as ready")
-def older_calls_ready(context):
+def restored_lists_ready(context):
     context.fleet.keep_copy()
     list_again(context)
     context.fleet.come_back_older()
-    calls_ready(context)
+    lists_ready(context)
 
 
 @when("its entry expires, and is listed again")
-def lapses(context):
+def entry_expires(context):
     store_answers(context)
     context.fleet.servers.put(context.server, None)
     context.run(context.clock.sleep, 5 * SETTLE_MS)
@@ -127,54 +129,56 @@
 
 @when("a later answer does not repeat the notice")
 def later_answer(context):
-    say(context, [context.server], [RateLimit(UNLIMITED)])
+    send_notices(context, [context.server], [RateLimit(UNLIMITED)])
     context.run(context.clock.sleep, SETTLE_MS)
 
 
 @when("{rate:d} {kind:w} requests a second come for {ms:d} ms")
-def come(context, rate, kind, ms):
-    context.sendings.clear()
+def send_series(context, rate, kind, ms):
+    context.sent_requests.clear()
     send(context, rate, kind, ms)
 
 
 @then("server {server:S} gets nothing")
 def gets_nothing(context, server):
-    got = [one for one in context.sendings if one.server == server]
-    assert context.sendings and not got, (len(got), len(context.sendings))
+    got = [one for one in context.sent_requests if one.server == server]
+    assert context.sent_requests and not got, (len(got), len(context.sent_requests))
 
 
 @when("server {server:S} restarts, and {rate:d} {kind:w} requests a second come for {ms:d} ms")
-def starts_again(context, server, rate, kind, ms):
+def restarts(context, server, rate, kind, ms):
     service, datacentre = context.servers[server]
     context.fleet.add_server(server, service, datacentre, born=7)
     context.run(context.clock.sleep, SETTLE_MS)
-    come(context, rate, kind, ms)
+    send_series(context, rate, kind, ms)
 
 
-@then("server {server:S} gets over {least:d} requests")
-def gets_over(context, server, least):
-    got = [one for one in context.sendings if one.server == f"{server}@7"]
-    assert len(got) > least, len(got)
+@then("server {server:S} gets over {minimum:d} requests")
+def gets_over(context, server, minimum):
+    got = [one for one in context.sent_requests if one.server == f"{server}@7"]
+    assert len(got) > minimum, len(got)
 
 
 @when("a {which:w} server announces that it leaves, and 11 minutes later another one does")
 def leave_apart(context, which):
-    context.book.listed = lambda: frozenset({"i-1"} if which == "listed" else ())
+    context.registry.listed = lambda: frozenset({"i-1"} if which == "listed" else ())
     for name in ("i-1", "i-2"):
         server = listed_server(name, "desk", "10.0.0.1:80", "a", 8, False)
-        context.book.record(server, Leaving(), context.clock.now())
+        context.registry.record(server, Leaving(), context.clock.now())
         context.clock.time += FORGOTTEN_MS
 
 
 @then("{number:d} of them are known to leave")
 def number_known(context, number):
-    assert len(context.book.leaving) == number, context.book.leaving
+    assert len(context.registry.leaving) == number, context.registry.leaving
 
 
 @then("all requests that came in the first {ms:d} ms were answered")
 def answered_first(context, ms):
-    until = min(context.first_told.values()) + ms
-    ends = [context.ends[id_][0] for id_, came in context.arrived.items() if came <= until]
+    until = min(context.first_notified_at.values()) + ms
+    ends = [
+        context.ends[id_][0] for id_, arrived_at in context.arrived.items() if arrived_at <= until
+    ]
     assert ends and set(ends) == {200}, ends
 
 
@@ -185,8 +189,8 @@
 def refused_later(context, after, ms):
     late = [
         id_
-        for id_, came in context.arrived.items()
-        if came > min(context.first_told.values()) + after
+        for id_, arrived_at in context.arrived.items()
+        if arrived_at > min(context.first_notified_at.values()) + after
     ]
     ends = [context.ends[id_] for id_ in late]
     assert late and {(end[2], end[3]) for end in ends} == {(2008, "not_run")}, ends
@@ -195,8 +199,8 @@
 
 
 @then("no notified instance sends them requests that come over {ms:d} ms later")
-def all_left_alone(context, ms):
-    left_alone(context, ms)
+def none_used_by_notified(context, ms):
+    not_used_by_notified(context, ms)
 
 
 @when("server {server:S} is listed, and {rate:d} {kind:w} requests a second come for {ms:d} ms")
@@ -231,8 +235,8 @@
 
 
 @when("results at {first:S} and {second:S} are released")
-def given_up(context, first, second):
-    batcher = meeting(context, "enc").dispatch.batcher("enc")
+def release_results(context, first, second):
+    batcher = find_coordinator(context, "enc").dispatch.batcher("enc")
 
     def release():
         for server, handle in ((first, f"{first}/1"), (second, f"{second}/2")):
@@ -252,17 +256,17 @@
 
 @then("no cached prompt part is fetched from {server:S}")
 def none_fetched(context, server):
-    placed = [call.source for call in context.opened]
+    placed = [call.source for call in context.opened_calls]
     assert placed and server not in placed, placed.count(server)
 
 
 @when("one instance receives the notice that a server leaves, and {ms:d} ms later another one does")
-def told_two(context, ms):
+def receive_two(context, ms):
     server = listed_server("i-1", "desk", "10.0.0.1:80", "a", 8, False)
 
     def play():
-        for book, wait_ms in ((context.books[0], float(ms)), (context.books[1], 0.0)):
-            book.record(server, Leaving(), context.clock.now() - 5.0)
+        for registry, wait_ms in ((context.registries[0], float(ms)), (context.registries[1], 0.0)):
+            registry.record(server, Leaving(), context.clock.now() - 5.0)
             context.clock.sleep(wait_ms)
 
     context.run(play)
@@ -271,9 +275,9 @@
 @then("after {ms:d} ms all of them know that it leaves, and no message is in transit")
 def all_know(context, ms):
     context.run(context.clock.sleep, float(ms))
-    assert context.under_way == 0, context.messages
-    assert context.messages <= 2 * len(context.books), context.messages
-    assert all(book.leaving_since("i-1") is not None for book in context.books)
+    assert context.in_transit == 0, context.messages
+    assert context.messages <= 2 * len(context.registries), context.messages
+    assert all(registry.leaving_since("i-1") is not None for registry in context.registries)
 
 
 @when(
@@ -282,14 +286,14 @@
 )
 def many_leave(context, number, ms, others):
     context.listed = {f"i-{n}" for n in range(number)}
-    context.book.listed = lambda: frozenset(context.listed)
+    context.registry.listed = lambda: frozenset(context.listed)
     for n in range(number + others):
         context.clock.time += ms
         server = listed_server(f"i-{n}", "desk", "10.0.0.1:80", "a", 8, False)
-        context.book.record(server, Leaving(), context.clock.now())
+        context.registry.record(server, Leaving(), context.clock.now())
 
 
-@then("it keeps those that are listed, and at least {most:d} in all")
-def remembers_listed(context, most):
-    assert context.listed <= set(context.book.leaving)
-    assert most <= len(context.book.leaving) <= len(context.listed) + most
+@then("it keeps those that are listed, and at least {maximum:d} in all")
+def keeps_listed(context, maximum):
+    assert context.listed <= set(context.registry.leaving)
+    assert maximum <= len(context.registry.leaving) <= len(context.listed) + maximum
--- a/features/steps/piece_steps.py
+++ b/features/steps/piece_steps.py
@@ -9,7 +9,7 @@
 
 import gevent
 from behave import given, then, when
-from forwardbasics import PATHS, ROUTES, QuietDispatch, meeting, request, serve
+from forwardbasics import PATHS, ROUTES, NullDispatch, find_coordinator, request, serve
 
 from mountladder.forwarding.pieceresult import PieceResult
 from mountladder.forwarding.routestage import RouteStage
@@ -63,7 +63,7 @@
 
 @given("the instance where pieces of {service} meet is cut off from its peers")
 def home_cut(context, service):
-    context.home = meeting(context, service).settings.name
+    context.home = find_coordinator(context, service).settings.name
     for other in NAMES:
         if other != context.home:
             context.fleet.network.cut_instances.add(frozenset({other, context.home}))
@@ -151,7 +151,7 @@
             assert sum(batcher.result_memory.used.values()) == 0
 
 
-class RecordingDispatch(QuietDispatch):
+class RecordingDispatch(NullDispatch):
     """Takes stages in and settles them at once, each piece with a handle of its own."""
 
     def __init__(self):
--- a/features/steps/quarantine_pipeline_steps.py
+++ b/features/steps/quarantine_pipeline_steps.py
@@ -34,9 +34,9 @@
 
 
 @then("at most {number:d} engines have crashed")
-def engines_ended(context, number):
-    ended = sum(server.starts - 1 for server in context.fleet.servers.values())
-    assert 0 < ended <= number, ended
+def engines_crashed(context, number):
+    crashed = sum(server.starts - 1 for server in context.fleet.servers.values())
+    assert 0 < crashed <= number, crashed
 
 
 @then("the last {number:d} were refused with code {code:d} before any stage")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -21,10 +21,10 @@
 SETTLE_MS = 700.0
 # A server crashes 60 ms after it has started the request, and its entry expires 3.6 s later.
 DEADLY_MS = 60.0
-LAPSE_MS = 3_600.0
+ENTRY_TTL_MS = 3_600.0
 BODY = b"deadly"
 # After this time all instances have the updates of one, also those forwarded by another.
-NEWS_MS = 20.0
+UPDATE_MS = 20.0
 # The prefill rate in the scenario with many crashes, so that a request takes half a second.
 TOKENS_PER_MS = 2.0
 
@@ -35,13 +35,13 @@
     upstream.deadly[BODY] = DEADLY_MS
     starts = itertools.count(100)
 
-    def start_again(server):
+    def restart(server):
         service, datacentre = server.labels["service"], server.datacentre
         name = f"{service}-{next(starts)}"
         clock.call_later(ms, lambda: context.fleet.add_server(name, service, datacentre))
-        clock.call_later(LAPSE_MS, lambda: context.fleet.servers.put(server.name, None))
+        clock.call_later(ENTRY_TTL_MS, lambda: context.fleet.servers.put(server.name, None))
 
-    upstream.on_ended = start_again
+    upstream.on_ended = restart
     add_servers(context, "llm", number)
     context.took = {}
 
@@ -93,9 +93,9 @@
 
 
 @then("at most {number:d} servers have crashed")
-def ended_at_most(context, number):
-    ended = context.fleet.upstream.ended
-    assert len(ended) <= number, (len(ended), ended)
+def crashed_at_most(context, number):
+    crashed = context.fleet.upstream.ended
+    assert len(crashed) <= number, (len(crashed), crashed)
 
 
 @then("the last {number:d} attempts are refused with code {code:d} as {class_} within {ms:d} ms")
@@ -156,23 +156,23 @@
 
 
 @when("instance {name} crashes {ms:d} ms after the last server crash")
-def dies(context, name, ms):
+def instance_crashes(context, name, ms):
     # The crash was detected 800 ms ago; its announcement has been in transit for no longer.
     context.fleet.instances.pop(name).close()
 
 
 @given("instances {first} and {second} cannot reach each other")
-def parted(context, first, second):
+def cut_link(context, first, second):
     context.fleet.network.cut_instances.add(frozenset({first, second}))
 
 
 @given("data centres {first} and {second} cannot reach each other")
-def divided(context, first, second):
+def cut_datacentres_apart(context, first, second):
     context.fleet.network.cut_datacentres.add(frozenset({first, second}))
 
 
 @when("data centres {first} and {second} are connected again")
-def joined(context, first, second):
+def reconnect_datacentres(context, first, second):
     context.fleet.network.cut_datacentres.discard(frozenset({first, second}))
 
 
@@ -211,22 +211,27 @@
             context.fleet.upstream.faults[name] = ServerFault(fault)
 
 
-def books(context):
+def registries(context):
     return [one.quarantine.registry for one in context.fleet.instances.values()]
 
 
 @then("no request is suspect")
 def nothing_suspect(context):
-    context.run(context.clock.sleep, NEWS_MS)
+    context.run(context.clock.sleep, UPDATE_MS)
     suspects = [
-        one for book in books(context) for one in book.suspicions.values() if one.is_suspect
+        one
+        for registry in registries(context)
+        for one in registry.suspicions.values()
+        if one.is_suspect
     ]
     assert not suspects, suspects
 
 
 @then("no request is barred")
 def nothing_barred(context):
-    barred = [one for book in books(context) for one in book.suspicions.values() if one.bars]
+    barred = [
+        one for registry in registries(context) for one in registry.suspicions.values() if one.bars
+    ]
     assert not barred, barred
 
 
@@ -240,7 +245,7 @@
     return [name for name in records if name.startswith("llm")]
 
 
-def end_servers(context, ids):
+def crash_servers(context, ids):
     """Crash servers, without a request that causes it."""
     directory = next(iter(context.fleet.instances.values())).directory
     for id_ in ids:
@@ -248,17 +253,17 @@
 
 
 @when("all model servers exit while a plain stream request is in flight")
-def end_all(context):
-    def send_and_end():
+def exit_all(context):
+    def send_and_crash():
         task = gevent.spawn(attempt, context, "a-1", "p", "stream", b"plain")
         context.clock.sleep(20.0)
         for name in context.draining:
             context.fleet.add_server(name, "llm", "a", draining=True)
         context.clock.sleep(25.0)
-        end_servers(context, context.draining)
+        crash_servers(context, context.draining)
         task.join()
 
-    context.run(send_and_end)
+    context.run(send_and_crash)
     assert context.ends["p"][3] in {"broken", "unknown"}, context.ends["p"]
 
 
@@ -268,20 +273,22 @@
 
 
 @when("all model servers but {left:d} crash while {number:d} plain stream requests are in flight")
-def end_many(context, left, number):
+def crash_many(context, left, number):
     names = itertools.cycle(context.fleet.instances)
 
-    def send_and_end():
+    def send_and_crash():
         tasks = [
             gevent.spawn(attempt, context, next(names), f"p{n}", "stream", b"p%d" % n)
             for n in range(number)
         ]
         context.clock.sleep(60.0)
-        end_servers(context, model_names(context)[left:])
+        crash_servers(context, model_names(context)[left:])
         gevent.joinall(tasks)
 
-    context.run(send_and_end)
-    assert any(one.is_suspect for book in books(context) for one in book.suspicions.values())
+    context.run(send_and_crash)
+    assert any(
+        one.is_suspect for registry in registries(context) for one in registry.suspicions.values()
+    )
 
 
 @when("the same {number:d} requests come again")
@@ -317,9 +324,10 @@
 
 
 @when(
-    "a server crashes every {ms:d} ms while {number:d} requests come, {alike:d} of them identical"
+    "a server crashes every {ms:d} ms while {number:d} requests come, "
+    "{identical:d} of them identical"
 )
-def crashes(context, ms, number, alike):
+def crashes(context, ms, number, identical):
     """Send a request every 20 ms; the callers of those that fail retry once."""
     rng = random.Random(5)
     context.fleet.upstream.tokens_per_ms = TOKENS_PER_MS
@@ -327,7 +335,7 @@
     context.attempts = [f"r{n}" for n in range(number)]
 
     def call(n):
-        body = b"hot" if n < alike else b"r%d" % n
+        body = b"hot" if n < identical else b"r%d" % n
         names = list(fleet.instances)
         attempt(context, rng.choice(names), f"r{n}", "resumable", body)
         if context.ends[f"r{n}"][2]:
@@ -365,15 +373,15 @@
     "crashes"
 )
 def popular(context, number):
-    send_popular(context, number, "first", end=True)
+    send_popular(context, number, "first", crash=True)
 
 
 @when("{number:d} plain stream requests with the same body come at once")
-def popular_again(context, number):
-    context.attempts = send_popular(context, number, "then", end=False)
+def popular_copies(context, number):
+    context.attempts = send_popular(context, number, "then", crash=False)
 
 
-def send_popular(context, number, label, end):
+def send_popular(context, number, label, crash):
     names = itertools.cycle(context.fleet.instances)
     ids = [f"{label}{n}" for n in range(number)]
 
@@ -382,8 +390,8 @@
             gevent.spawn(attempt, context, next(names), id_, "stream", b"popular") for id_ in ids
         ]
         context.clock.sleep(60.0)
-        if end:
-            end_servers(context, [context.fleet.upstream.arrivals[ids[0]][0]])
+        if crash:
+            crash_servers(context, [context.fleet.upstream.arrivals[ids[0]][0]])
             context.clock.sleep(20.0)
             return
         gevent.joinall(tasks)
@@ -395,12 +403,14 @@
 @given("a deadly stream request was barred")
 def was_barred(context):
     send_series(context, context.fleet.instances, 3, 800)
-    assert all(one.bars == 1 for book in books(context) for one in book.suspicions.values())
-    context.ended_before = len(context.fleet.upstream.ended)
+    assert all(
+        one.bars == 1 for registry in registries(context) for one in registry.suspicions.values()
+    )
+    context.crashed_before = len(context.fleet.upstream.ended)
 
 
 @given("its bar has expired")
-def bar_ended(context):
+def bar_expired(context):
     # The clock jumps, so that ten minutes of heartbeats need not be played.
     context.clock.time += BAR_DURATIONS_MS[0]
     context.run(context.clock.sleep, 5_000.0)
@@ -412,22 +422,22 @@
 
 
 @then("the table of bars is empty")
-def no_bars(context):
+def table_is_empty(context):
     context.run(context.clock.sleep, 50.0)
     assert not context.fleet.bars.rows, context.fleet.bars.rows
 
 
 @then("one more server has crashed")
 def one_more(context):
-    assert len(context.fleet.upstream.ended) == context.ended_before + 1
+    assert len(context.fleet.upstream.ended) == context.crashed_before + 1
 
 
 @then("it is barred for {seconds:d} s everywhere")
 def barred_for(context, seconds):
-    for book in books(context):
-        (one,) = book.suspicions.values()
-        left_ms = one.barred_until - context.clock.now()
-        assert abs(left_ms - 1000.0 * seconds) < 3_000.0, left_ms
+    for registry in registries(context):
+        (one,) = registry.suspicions.values()
+        remaining_ms = one.barred_until - context.clock.now()
+        assert abs(remaining_ms - 1000.0 * seconds) < 3_000.0, remaining_ms
 
 
 @when("an operator clears it at {name}")
@@ -445,18 +455,18 @@
     def suspect_all():
         for n in range(number):
             now = context.clock.now()
-            lost = Interruption(f"{n:032x}", f"r{n}", 900.0, now)
-            quarantine.handle_crash(f"s-{n}", "llm", [lost])
+            interruption = Interruption(f"{n:032x}", f"r{n}", 900.0, now)
+            quarantine.handle_crash(f"s-{n}", "llm", [interruption])
             context.clock.sleep(1.0)
 
     context.run(suspect_all)
 
 
 @then("the quarantine of {name} holds {number:d} entries, the bar among them")
-def book_holds(context, name, number):
-    book = context.fleet.instances[name].quarantine.registry.suspicions
-    assert len(book) == number, len(book)
-    assert sum(one.bars for one in book.values()) == 1
+def quarantine_holds(context, name, number):
+    suspicions = context.fleet.instances[name].quarantine.registry.suspicions
+    assert len(suspicions) == number, len(suspicions)
+    assert sum(one.bars for one in suspicions.values()) == 1
 
 
 @then("{number:d} evictions are counted there")
@@ -473,9 +483,9 @@
 
 @then("no instance would use the crashed server")
 def none_would_use(context):
-    (ended,) = context.fleet.upstream.ended
+    (crashed,) = context.fleet.upstream.ended
     for instance in context.fleet.instances.values():
-        state = instance.router.state(instance.directory.records[ended].server)
+        state = instance.router.state(instance.directory.records[crashed].server)
         assert not state.usable(context.clock.now())
 
 
@@ -525,19 +535,19 @@
 
 
 @when("{number:d} requests with stages are in flight and their stage server crashes")
-def stage_server_ends(context, number):
+def stage_server_crashes(context, number):
     names = itertools.cycle(context.fleet.instances)
     context.attempts = [f"s{n}" for n in range(number)]
 
-    def send_and_end():
+    def send_and_crash():
         tasks = [gevent.spawn(staged, context, id_, next(names), id_) for id_ in context.attempts]
         context.clock.sleep(100.0)
         calls = context.fleet.upstream.calls
         fullest = max(calls, key=lambda one: len(one.pieces))
-        end_servers(context, [fullest.server])
+        crash_servers(context, [fullest.server])
         gevent.joinall(tasks)
 
-    context.run(send_and_end)
+    context.run(send_and_crash)
 
 
 @then("their pieces took at most {number:d} calls")
@@ -547,7 +557,7 @@
 
 
 @then("the call that crashed the last server held no pieces of other requests")
-def alone(context):
+def no_pieces_of_others(context):
     upstream = context.fleet.upstream
     last = [one for one in upstream.calls if one.server == upstream.ended[-1]][-1]
     assert {piece.key for piece in last.pieces} == {"deadly pieces"}, last
@@ -563,7 +573,7 @@
 
 
 @given("the instance that gets the request does not follow the store and cannot write bars")
-def cannot_write(context):
+def instance_cannot_write(context):
     instances = context.fleet.instances
     context.sent_to = next(
         n for n, one in instances.items() if not one.fleet.reader_election.reading
@@ -581,12 +591,14 @@
 @given("the table of bars holds one that expired {hours:d} hours ago and one that is in force")
 def old_bars(context, hours):
     wall = context.clock.wall()
-    for mark, at in (
+    for fingerprint, at in (
         ("0a" * 16, wall - BAR_DURATIONS_MS[0] - 3_600_000.0 * hours),
         ("0b" * 16, wall),
     ):
-        ends = (ServerCrash("s", 60.0, at),)
-        context.fleet.bars.write(Suspicion(mark, "llm", ends, bars=1, barred_at=at))
+        server_crashes = (ServerCrash("s", 60.0, at),)
+        context.fleet.bars.write(
+            Suspicion(fingerprint, "llm", server_crashes, bars=1, barred_at=at)
+        )
 
 
 @then("the table holds only the one that is in force")
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 from behave import given, then, when
-from forwardbasics import PATHS, desk_of, request, serve
+from forwardbasics import PATHS, placement_coordinator, request, serve
 from mountladder_platform.decoding import decode_server
 from mountladder_platform.store import StoreTable
 from mountladder_platform.storeinstances import StoreInstances
@@ -94,7 +94,7 @@
 
 
 def placement(instance):
-    return desk_of(instance).placement
+    return placement_coordinator(instance).placement
 
 
 def known(context, id_):
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -6,7 +6,7 @@
 
 import gevent
 from behave import given, then, when
-from forwardbasics import BATCH, PATHS, desk_of, meeting, request, serve
+from forwardbasics import BATCH, PATHS, find_coordinator, placement_coordinator, request, serve
 
 from mountladder.forwarding.piecefailure import PieceFailure
 from mountladder.forwarding.stagejob import StageJob
@@ -20,7 +20,7 @@
 def instance(context, where, topic="enc"):
     """Return an instance where the work of a topic meets, or one where it does not."""
     if where == "where":
-        return meeting(context, topic)
+        return find_coordinator(context, topic)
     running = context.fleet.instances.values()
     return next(one for one in running if one.fleet.coordinator(topic) is not None)
 
@@ -147,5 +147,5 @@
 @then("no server is taken to be reading a prompt")
 def nothing_read(context):
     for one in context.fleet.instances.values():
-        desk = desk_of(one)
+        desk = placement_coordinator(one)
         assert not desk.placed and not desk.placement.pending_tokens, desk.placed
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -80,7 +80,16 @@
         seed: The seed of the random number generator, or None for a random one.
     """
 
-    def __init__(self, settings: ForwardingSettings, clock: Clock, tables: PlatformTables, upstream: Upstream, network: Network, metrics: Metrics, seed: int | None = None) -> None:
+    def __init__(
+        self,
+        settings: ForwardingSettings,
+        clock: Clock,
+        tables: PlatformTables,
+        upstream: Upstream,
+        network: Network,
+        metrics: Metrics,
+        seed: int | None = None,
+    ) -> None:
         self.settings = settings
         self.clock = clock
         self.tables = tables
@@ -89,23 +98,43 @@
         self.stack = ExitStack()
         self.rng = random.Random(seed)
         self.shutdown = Shutdown(clock, lambda: self.settings.grace_ms)
-        self.me = Instance(settings.name, uuid.uuid4().hex[:12], settings.datacentre, "", settings.peer, cores=settings.cores, since=int(clock.wall()))
+        self.me = Instance(
+            settings.name,
+            uuid.uuid4().hex[:12],
+            settings.datacentre,
+            "",
+            settings.peer,
+            cores=settings.cores,
+            since=int(clock.wall()),
+        )
         self.follower = CatalogueFollower(tables.decode_catalogue, clock)
         self.directory = Directory(clock)
         self.membership = Membership(self.me, clock, HEARTBEAT_MS)
         self.budgets = RetryBudgets(lambda: self.settings, self.membership, clock)
-        self.fleet = Fleet(self.membership, network, clock, metrics, settings.seeds, self.follower, self.directory)
+        self.fleet = Fleet(
+            self.membership, network, clock, metrics, settings.seeds, self.follower, self.directory
+        )
         self.build(upstream)
 
     def build(self, upstream: Upstream) -> None:
         """Create and connect the components of the request path."""
         clock, metrics = self.clock, self.metrics
-        self.router = Router(clock, self.rng, CostModel(), ExpectedCompletion(), metrics, self.settings.datacentre, CROSS_DATACENTRE_MS)
+        self.router = Router(
+            clock,
+            self.rng,
+            CostModel(),
+            ExpectedCompletion(),
+            metrics,
+            self.settings.datacentre,
+            CROSS_DATACENTRE_MS,
+        )
         leadership = Leadership(self.fleet, clock)
         self.cold = ColdServers(self.directory, self.follower, leadership, clock)
         self.notices = NoticeDispatcher(self.fleet, self.directory, self.router, clock, metrics)
         self.limits = ServerLimits(self.notices.registry, leadership, clock)
-        coordinator = PlacementCoordinator(self.directory, self.router, clock, self.follower, self.cold, self.limits)
+        coordinator = PlacementCoordinator(
+            self.directory, self.router, clock, self.follower, self.cold, self.limits
+        )
         placer = PromptPlacer(self.fleet, coordinator, clock)
         picker = ServerPicker(self.directory, self.router, placer, self.cold, self.limits)
         self.upstream = upstream
@@ -116,8 +145,12 @@
         self.directory.listeners.append(self.pump_batchers)
         self.forwarder = Forwarder(self.make_context(picker))
         applier = PageApplier(self.tables, self.follower, self.directory, self.fleet.eras, clock)
-        self.catalogue_source = self.make_follower("catalogue", self.tables.catalogue, applier.apply_catalogue)
-        self.directory_source = self.make_follower("servers", self.tables.servers, applier.apply_servers)
+        self.catalogue_source = self.make_follower(
+            "catalogue", self.tables.catalogue, applier.apply_catalogue
+        )
+        self.directory_source = self.make_follower(
+            "servers", self.tables.servers, applier.apply_servers
+        )
         self.directory_source.on_reachable = self.directory.mark_store_reachable
         self.member_reader = MemberReader(self.tables.instances, self.fleet, clock)
         self.fleet.is_store_answering = self.follows_store
@@ -125,11 +158,20 @@
 
     def build_quarantine(self, upstream: Upstream) -> None:
         """Create and connect the components that track which requests crash servers."""
-        self.quarantine = QuarantineService(upstream.refuses, DirectoryListing(self.directory), self.fleet, lambda: self.settings.secret, self.clock, self.metrics)
+        self.quarantine = QuarantineService(
+            upstream.refuses,
+            DirectoryListing(self.directory),
+            self.fleet,
+            lambda: self.settings.secret,
+            self.clock,
+            self.metrics,
+        )
         self.directory.listeners.append(self.quarantine.detector.check_listing)
         registry, reader_election = self.quarantine.registry, self.fleet.reader_election
         registry.on_server_crashed = self.disable_server
-        self.bar_keeper = SuspicionPersister(self.tables.bars, registry, reader_election, self.clock)
+        self.bar_keeper = SuspicionPersister(
+            self.tables.bars, registry, reader_election, self.clock
+        )
         self.fleet.eras.listeners.append(self.bar_keeper.rewrite_recent)
 
     def disable_server(self, name: str) -> None:
@@ -140,19 +182,57 @@
 
     def make_context(self, picker: ServerPicker) -> ForwardContext:
         """Return the state that forwarded requests share."""
-        return ForwardContext(clock=self.clock, rng=self.rng, follower=self.follower, picker=picker, upstream=self.upstream, dispatch=self.dispatch, forecast=StageForecast(self.dispatch, self.follower), budget=self.budgets.of, metrics=self.metrics, shutdown=self.shutdown, fetch_time=FetchTime(), quarantine=self.quarantine, notices=self.notices)
+        return ForwardContext(
+            clock=self.clock,
+            rng=self.rng,
+            follower=self.follower,
+            picker=picker,
+            upstream=self.upstream,
+            dispatch=self.dispatch,
+            forecast=StageForecast(self.dispatch, self.follower),
+            budget=self.budgets.of,
+            metrics=self.metrics,
+            shutdown=self.shutdown,
+            fetch_time=FetchTime(),
+            quarantine=self.quarantine,
+            notices=self.notices,
+        )
 
-    def make_follower(self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]) -> SourceFollower:
+    def make_follower(
+        self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]
+    ) -> SourceFollower:
         """Return a follower of a table; it reads while this instance is to follow the store."""
         reader_election = self.fleet.reader_election
-        follower = SourceFollower(name, source, self.clock, self.metrics, apply, self.settings.feed_wait_ms, reader_election.is_due, reader_election.idle_ms)
+        follower = SourceFollower(
+            name,
+            source,
+            self.clock,
+            self.metrics,
+            apply,
+            self.settings.feed_wait_ms,
+            reader_election.is_due,
+            reader_election.idle_ms,
+        )
         reader_election.wake_events.append(follower.wake)
         follower.on_unreachable = self.fleet.announce_reader
         return follower
 
     def make_batcher(self, service: str) -> Batcher:
         """Return a new batcher of a service."""
-        return Batcher(service, self.follower, self.fleet.division, self.router, self.upstream, self.quarantine, self.budgets.of(service), self.clock, self.metrics, self.cold, self.limits, self.notices)
+        return Batcher(
+            service,
+            self.follower,
+            self.fleet.division,
+            self.router,
+            self.upstream,
+            self.quarantine,
+            self.budgets.of(service),
+            self.clock,
+            self.metrics,
+            self.cold,
+            self.limits,
+            self.notices,
+        )
 
     def pump_batchers(self) -> None:
         """Have every batcher send what the current servers can take."""
@@ -185,7 +265,15 @@
     def start(self) -> None:
         """Start the background tasks; closing the stack stops them."""
         self.network.listen(self.me, self.fleet.serve, self.stack)
-        loops: tuple[Callable[[], None], ...] = (self.catalogue_source.run, self.directory_source.run, self.member_reader.run, self.bar_keeper.run, self.keep_announcing, self.keep_checking_reachability, self.fleet.run)
+        loops: tuple[Callable[[], None], ...] = (
+            self.catalogue_source.run,
+            self.directory_source.run,
+            self.member_reader.run,
+            self.bar_keeper.run,
+            self.keep_announcing,
+            self.keep_checking_reachability,
+            self.fleet.run,
+        )
         tasks = [gevent.spawn(keep_running, loop, self.clock) for loop in loops]
         self.stack.callback(self.fleet.close)
         self.stack.callback(gevent.killall, tasks, block=False)
