--- a/features/forwardbasics.py
+++ b/features/forwardbasics.py
@@ -1,8 +1,8 @@
-# forwardbasics.py -- A small catalogue that scenarios about forwarding share
+# forwardbasics.py -- A small catalogue, and helpers for scenarios about forwarding
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A small catalogue that scenarios about forwarding share."""
+"""A small catalogue, and helpers for scenarios about forwarding."""
 
 from dataclasses import replace
 
@@ -94,8 +94,8 @@
     return replace(plain, **fields)
 
 
-def meeting(context, topic, datacentre=""):
-    """Return an instance where the work of a topic meets, in a data centre or anywhere."""
+def find_coordinator(context, topic, datacentre=""):
+    """Return an instance that is the coordinator of a topic, in a data centre or anywhere."""
     return next(
         one
         for one in context.fleet.instances.values()
@@ -103,22 +103,22 @@
     )
 
 
-def desk_of(instance):
-    """Return what places prompts on an instance."""
+def placement_coordinator(instance):
+    """Return the placement coordinator of an instance."""
     return instance.forwarder.context.picker.placer.coordinator
 
 
 def serve(context, name, sent):
-    """Send a request and keep how it ended: (status, body, code, class, error), and when."""
+    """Send a request; record its outcome (status, body, code, class, error), and when it ended."""
     context.arrived[sent.id] = sent.arrived
     try:
-        serve_whole(context, name, sent)
+        send_and_record(context, name, sent)
     finally:
         context.ended_at[sent.id] = context.clock.now()
 
 
-def serve_whole(context, name, sent):
-    """Send a request, read its answer, and keep how it ended and how long it took to begin."""
+def send_and_record(context, name, sent):
+    """Send a request and read its answer; record its outcome and the time to its first byte."""
     try:
         answer = context.fleet.send(name, sent)
     except MountladderError as error:
@@ -136,8 +136,8 @@
     context.ends[sent.id] = (answer.status, body, 0, "", None)
 
 
-def watch(context):
-    """Note when each server is sent requests, and by which instance."""
+def record_sends(context):
+    """Record when each server is sent requests, and by which instance."""
     context.sent = []
     upstream = context.fleet.upstream
     plain_open, plain_pieces = upstream.open, upstream.run_pieces
@@ -147,23 +147,23 @@
         context.sent.append((context.clock.now(), server.labels[ID_LABEL], 1, name))
         return plain_open(server, call, limit_ms)
 
-    def run_pieces(server, pieces, limit_ms, heard):
+    def run_pieces(server, pieces, limit_ms, on_notices):
         context.sent.append((context.clock.now(), server.labels[ID_LABEL], len(pieces), ""))
-        return plain_pieces(server, pieces, limit_ms, heard)
+        return plain_pieces(server, pieces, limit_ms, on_notices)
 
     upstream.open, upstream.run_pieces = open_, run_pieces
 
 
 def send_steadily(context, per_s, kind, ms, names=(), label="", fields=lambda n: {}):
-    """Send requests at a steady rate, each at the next of some instances.
+    """Send requests at a steady rate, to the instances in turn.
 
     Args:
-        context: The scenario's.
-        per_s: How many a second.
-        kind: Their kind, one of PATHS.
-        ms: For how long.
-        names: The instances; without them all.
-        label: What tells their ids from those of other series.
+        context: The scenario's context.
+        per_s: Requests a second.
+        kind: The kind of the requests, a key of PATHS.
+        ms: How long to send, in milliseconds.
+        names: The instances; all if empty.
+        label: A prefix that makes the ids unique among several series.
         fields: Returns further fields of a request, by its number.
     """
     names = list(names or context.fleet.instances)
@@ -181,13 +181,13 @@
     context.run(send_all)
 
 
-def most_within(times, span_ms):
-    """Return how many of some times lie within any span of a length, at most."""
+def max_within(times, span_ms):
+    """Return the largest number of times within any span of a length."""
     return max((sum(at <= one < at + span_ms for one in times) for at in times), default=0)
 
 
-class QuietDispatch:
-    """Stands for the dispatch of stages; says nothing of services and keeps no results."""
+class NullDispatch:
+    """A dispatch of stages that announces no services and keeps no results."""
 
     def announce(self, notice):
         pass
@@ -205,8 +205,8 @@
         return None
 
 
-class AllWarm:
-    """Stands for what limits cold servers; takes none to be cold."""
+class NoColdServers:
+    """A limit for cold servers that considers no server cold."""
 
     def exhausted(self, servers, cold, topic):
         return frozenset()
@@ -219,7 +219,7 @@
 
 
 class NoLimits:
-    """Stands for what keeps to the limits of servers; none names one."""
+    """Server limits where no server has announced one."""
 
     def waits_ms(self, servers, topic):
         return {}
--- a/features/steps/bar_steps.py
+++ b/features/steps/bar_steps.py
@@ -1,8 +1,8 @@
-# bar_steps.py -- Steps about bars on the platform and for operators
+# bar_steps.py -- Steps about stored bars and the operator's quarantine commands
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about bars on the platform and for operators."""
+"""Steps about stored bars and the operator's quarantine commands."""
 
 import base64
 import json
@@ -24,8 +24,8 @@
 from mountladder_entry.httpclient import HttpClient
 
 WALL = 1_790_000_000_000.0
-ENDS = tuple(ServerCrash(f"i-{n}", 60.0 + n, WALL + 1_000.0 * n) for n in range(3))
-BAR = Suspicion("ab" * 16, "llm", ENDS, bars=1, barred_at=WALL + 2_000.0)
+CRASHES = tuple(ServerCrash(f"i-{n}", 60.0 + n, WALL + 1_000.0 * n) for n in range(3))
+BAR = Suspicion("ab" * 16, "llm", CRASHES, bars=1, barred_at=WALL + 2_000.0)
 TOKEN = "secret"
 FAULTS = {
     "no JSON": b"{",
@@ -60,10 +60,10 @@
 
     @app.post("/mountladder/rows-tx")
     def change():
-        asked = bottle.request.json
-        assert asked["expected"] == []
-        context.rows.update({one["key"]: one["value"] for one in asked["upserts"]})
-        for one in asked["remove"]:
+        body = bottle.request.json
+        assert body["expected"] == []
+        context.rows.update({one["key"]: one["value"] for one in body["upserts"]})
+        for one in body["remove"]:
             context.rows.pop(one["key"], None)
         return {"ver": 2}
 
@@ -99,12 +99,12 @@
     context.bars.remove(BAR.fingerprint)
 
 
-@then("no bar is kept")
+@then("no bar is stored")
 def none_kept(context):
     assert context.bars.read() == ()
 
 
-@given("an instance's inner pages with one barred request")
+@given("an instance's operator pages with one barred request")
 def pages(context):
     clock = SystemClock()
     quarantine = Quarantine(clock, MemoryMetrics())
@@ -117,8 +117,8 @@
 
 
 def command(context, token, *words):
-    asked = ["--operator-token", token, "quarantine", context.address, *words]
-    context.result = CliRunner().invoke(main, asked)
+    arguments = ["--operator-token", token, "quarantine", context.address, *words]
+    context.result = CliRunner().invoke(main, arguments)
 
 
 @when("an operator lists them with the token")
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -1,15 +1,15 @@
-# drain_steps.py -- Steps about data centres whose servers are to get nothing
+# drain_steps.py -- Steps about drained data centres
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about data centres whose servers are to get nothing."""
+"""Steps about drained data centres."""
 
 from collections import OrderedDict
 from types import SimpleNamespace
 
 import gevent
 from behave import given, then, when
-from forwardbasics import PATHS, PROMPT, desk_of, meeting, request, serve
+from forwardbasics import PATHS, PROMPT, find_coordinator, placement_coordinator, request, serve
 from mountladder_platform.platforminstance import LINK_SETUP_MS
 
 from mountladder.forwarding.datacentredrain import DatacentreDrain
@@ -17,11 +17,11 @@
 from mountladder.forwarding.ranking import prompts_topic
 from mountladder_standins.forwardfleet import DRAIN
 
-LOOK_MS = 1.0
+POLL_MS = 1.0
 
 
 def in_datacentre(context, datacentre):
-    """Return the names of the servers that stand in a data centre."""
+    """Return the names of the servers in a data centre."""
     instance = next(iter(context.fleet.instances.values()))
     records = instance.directory.records.values()
     servers = [one.server for one in records if one.server is not None]
@@ -38,8 +38,8 @@
     context.fleet.drain(datacentre)
 
 
-@when("data centre {datacentre:w} is taken back")
-def take_back(context, datacentre):
+@when("data centre {datacentre:w} is undrained")
+def undrain(context, datacentre):
     context.fleet.undrain(datacentre)
 
 
@@ -77,7 +77,7 @@
     context.run(send)
 
 
-@given("{number:d} staged requests are under way")
+@given("{number:d} staged requests are in flight")
 def under_way(context, number):
     names = list(context.fleet.instances)
 
@@ -101,17 +101,17 @@
     assert not lost, lost
 
 
-@then("every instance takes data centre {datacentre:w} to be drained")
+@then("every instance considers data centre {datacentre:w} drained")
 def all_drained(context, datacentre):
     assert drained(context, datacentre) == set(context.fleet.instances)
 
 
-@then("no instance takes data centre {datacentre:w} to be drained")
+@then("no instance considers data centre {datacentre:w} drained")
 def none_drained(context, datacentre):
     assert not drained(context, datacentre)
 
 
-@then("the balancer finds {name} ready")
+@then("the load balancer finds {name} ready")
 def is_ready(context, name):
     assert context.fleet.instances[name].ready
 
@@ -121,8 +121,11 @@
     start_and_serve(context, name, number, kind, 0.0)
 
 
-@when("instance {name} starts, which is sent {number:d} {kind} requests after the greetings")
-def greets_and_serves(context, name, number, kind):
+@when(
+    "instance {name} starts, which is sent {number:d} {kind} requests after the first messages "
+    "of its peers"
+)
+def starts_and_serves_later(context, name, number, kind):
     start_and_serve(context, name, number, kind, LINK_SETUP_MS)
 
 
@@ -130,7 +133,7 @@
     def start():
         instance = context.fleet.start(name)
         while not instance.ready:
-            context.clock.sleep(LOOK_MS)
+            context.clock.sleep(POLL_MS)
         context.clock.sleep(wait_ms)
         tasks = []
         for n in range(number):
@@ -142,8 +145,8 @@
     assert any(one.startswith(name) for one in context.fleet.upstream.arrivals)
 
 
-@when("a peer that has not heard of the last change speaks to each instance")
-def late_word(context):
+@when("a peer that has not received the last change sends its state to each instance")
+def stale_update(context):
     for instance in context.fleet.instances.values():
         known = instance.directory.drains.entries["a"].position
         older = type(known)(known.era, known.version - 1)
@@ -157,7 +160,7 @@
     upstream.faults = dict.fromkeys([there], upstream.faults[there])
 
     def open_(server, call, limit_ms):
-        """Let the stream begin at the server, and drain the data centre while it runs."""
+        """Start the stream at the server, and drain the data centre while it runs."""
         if not upstream.arrivals[call.request.id]:
             context.clock.call_later(ms, lambda: context.fleet.drain(datacentre))
         return plain(server, call, limit_ms)
@@ -166,12 +169,12 @@
     first = next(one for one in context.fleet.instances.values())
     server = next(s for s in first.directory.available("llm") if s.name == there)
     for instance in context.fleet.instances.values():
-        desk_of(instance).placement.cached_parts[server.name] = kept()
+        placement_coordinator(instance).placement.cached_parts[server.name] = all_parts()
     context.run(serve, context, "a-1", request("r", PATHS["resumable"], context.clock.now()))
     assert upstream.arrivals["r"][0] == there, upstream.arrivals["r"]
 
 
-def kept():
+def all_parts():
     return OrderedDict.fromkeys(part.id for part in PROMPT.parts)
 
 
@@ -186,13 +189,13 @@
     assert context.fleet.upstream.runs["r"] == [first, second], context.fleet.upstream.runs["r"]
 
 
-@given("the instance where prompts meet hears of no drains")
-def deaf(context):
-    instance = meeting(context, prompts_topic("llm"))
-    context.deaf = instance.settings.name
-    desk_of(instance).placement.cached_parts["llm-1"] = kept()
-    instance.directory.drains.apply = lambda told, source: None
-    instance.directory.drains.replace = lambda told, position, source: None
+@given("the placement coordinator receives no drains")
+def uninformed(context):
+    instance = find_coordinator(context, prompts_topic("llm"))
+    context.uninformed = instance.settings.name
+    placement_coordinator(instance).placement.cached_parts["llm-1"] = all_parts()
+    instance.directory.drains.apply = lambda drains, source: None
+    instance.directory.drains.replace = lambda drains, position, source: None
 
 
 @when("{number:d} {kind} requests are sent to each other instance within {ms:d} ms")
@@ -202,29 +205,29 @@
             serve(context, name, request(f"{name}-{n}", PATHS[kind], context.clock.now()))
             context.clock.sleep(ms / number)
 
-    others = [name for name in context.fleet.instances if name != context.deaf]
+    others = [name for name in context.fleet.instances if name != context.uninformed]
     context.run(lambda: gevent.joinall([gevent.spawn(send_all, name) for name in others]))
 
 
-@given("model server llm-1 in a drained data centre keeps the parts of a prompt")
-def keeps_parts(context):
+@given("model server llm-1 in a drained data centre has cached the parts of a prompt")
+def has_cached_parts(context):
     context.fleet.drain("a")
     context.run(context.clock.sleep, 60.0)
-    context.instance = meeting(context, prompts_topic("llm"))
-    desk = desk_of(context.instance)
-    desk.placement.cached_parts["llm-1"] = kept()
+    context.instance = find_coordinator(context, prompts_topic("llm"))
+    coordinator = placement_coordinator(context.instance)
+    coordinator.placement.cached_parts["llm-1"] = all_parts()
     transfer = SimpleNamespace(expected_ms=lambda tokens, far: 0.001)
-    desk.follower = SimpleNamespace(service=lambda name: SimpleNamespace(transfer=transfer))
-    context.desk = desk
+    coordinator.follower = SimpleNamespace(service=lambda name: SimpleNamespace(transfer=transfer))
+    context.coordinator = coordinator
 
 
 @when("the prompt is placed")
 def placed(context):
-    context.reply = context.desk.place(PlacementOrder(1, "llm", PROMPT, (), ""), "a peer")
+    context.reply = context.coordinator.place(PlacementOrder(1, "llm", PROMPT, (), ""), "a peer")
 
 
-@then("it is read, not fetched")
-def read_not_fetched(context):
+@then("its parts are prefilled, not fetched")
+def prefilled_not_fetched(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
     assert context.reply.read == PROMPT.tokens
 
@@ -234,14 +237,14 @@
     context.results = ("enc-1/1", "enc-2/2")
 
 
-@when("the results are given up where they meet")
-def give_up(context):
-    meeting(context, "enc").dispatch.batcher("enc").release(context.results)
+@when("the service's coordinator releases the results")
+def release_results(context):
+    find_coordinator(context, "enc").dispatch.batcher("enc").release(context.results)
     context.run(context.clock.sleep, 100.0)
 
 
-@then("only the result in data centre b is given up")
-def one_given_up(context):
+@then("only the result in data centre b is released")
+def one_released(context):
     assert context.fleet.upstream.released == ["enc-2/2"], context.fleet.upstream.released
 
 
@@ -250,7 +253,7 @@
     assert context.clock.now() - context.sent_at <= ms
 
 
-@when("a row of the operator's table asks for a drain of no data centre")
+@when("a row of the operator's table drains a data centre without a name")
 def no_name(context):
     context.fleet.catalogue.put(DRAIN, b"{}")
 
@@ -262,24 +265,24 @@
         context.run(context.clock.sleep, 5.0)
 
 
-@then("no instance remembers a data centre without a name")
+@then("no instance keeps a data centre without a name")
 def no_empty_name(context):
     for instance in context.fleet.instances.values():
         assert "" not in instance.directory.drains.entries
 
 
-@then("no instance remembers more than {number:d} data centres")
+@then("no instance keeps more than {number:d} data centres")
 def few_names(context, number):
     for instance in context.fleet.instances.values():
         assert len(instance.directory.drains.entries) <= number
 
 
-@given("the store keeps a copy")
-@when("the store keeps a copy")
+@given("a copy of the store is saved")
+@when("a copy of the store is saved")
 def keep_copy(context):
     context.fleet.save_copy()
 
 
-@when("the store comes back from the copy")
-def come_back(context):
+@when("the store is restored from the copy")
+def restore_store(context):
     context.fleet.restore_copy()
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,8 +1,8 @@
-# quarantine_steps.py -- Steps about requests that end the servers which run them
+# quarantine_steps.py -- Steps about requests that crash the servers which run them
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about requests that end the servers which run them."""
+"""Steps about requests that crash the servers which run them."""
 
 import itertools
 import random
@@ -19,37 +19,34 @@
 from mountladder_standins.serverfault import ServerFault
 
 SETTLE_MS = 700.0
-# As seen: a server ends some 60 ms after it began, and its entry lapses 3.6 s later.
+# A server crashes 60 ms after it has started the request, and its entry expires 3.6 s later.
 DEADLY_MS = 60.0
-LAPSE_MS = 3_600.0
+ENTRY_TTL_MS = 3_600.0
 BODY = b"deadly"
-# By then all instances know what one has told, also over another one.
-NEWS_MS = 20.0
-# How fast prompts are read in a long day of crashes, so that a request takes half a second.
+# After this time all instances have the updates of one, also those forwarded by another.
+UPDATE_MS = 20.0
+# The prefill rate in the scenario with many crashes, so that a request takes half a second.
 TOKENS_PER_MS = 2.0
 
 
-@given(
-    "model servers llm-1 to llm-{number:d}, which start again under new ids {ms:d} ms after they "
-    "ended"
-)
+@given("model servers llm-1 to llm-{number:d}, which restart under new ids {ms:d} ms after a crash")
 def model_servers(context, number, ms):
     upstream, clock = context.fleet.upstream, context.clock
     upstream.crash_after_ms[BODY] = DEADLY_MS
     starts = itertools.count(100)
 
-    def start_again(server):
+    def restart(server):
         service, datacentre = server.labels["service"], server.datacentre
         name = f"{service}-{next(starts)}"
         clock.call_later(ms, lambda: context.fleet.add_server(name, service, datacentre))
-        clock.call_later(LAPSE_MS, lambda: context.fleet.servers.put(server.name, None))
+        clock.call_later(ENTRY_TTL_MS, lambda: context.fleet.servers.put(server.name, None))
 
-    upstream.on_crashed = start_again
+    upstream.on_crashed = restart
     add_servers(context, "llm", number)
     context.took = {}
 
 
-@given("plain servers desk-1 to desk-{number:d}, which do so as well")
+@given("plain servers desk-1 to desk-{number:d}, which restart likewise")
 def plain_servers(context, number):
     add_servers(context, "desk", number)
 
@@ -72,7 +69,7 @@
 
 
 def attempt(context, name, id_, kind="stream", body=BODY):
-    """Send one attempt, and note how long it took."""
+    """Send one attempt, and record how long it took."""
     sent_at = context.clock.now()
     serve(context, name, request(id_, PATHS[kind], sent_at, body=body))
     context.took[id_] = context.clock.now() - sent_at
@@ -95,10 +92,10 @@
     context.run(send_all)
 
 
-@then("at most {number:d} servers have ended")
-def ended_at_most(context, number):
-    ended = context.fleet.upstream.crashed
-    assert len(ended) <= number, (len(ended), ended)
+@then("at most {number:d} servers have crashed")
+def crashed_at_most(context, number):
+    crashed = context.fleet.upstream.crashed
+    assert len(crashed) <= number, (len(crashed), crashed)
 
 
 @then("the last {number:d} attempts are refused with code {code:d} as {class_} within {ms:d} ms")
@@ -158,35 +155,35 @@
     send_series(context, context.fleet.instances, times, ms, kind, b"plain")
 
 
-@when("instance {name} dies {ms:d} ms after the last end")
-def dies(context, name, ms):
-    # The end was seen 800 ms ago; what it told was under way for no longer than this.
+@when("instance {name} crashes {ms:d} ms after the last server crash")
+def instance_crashes(context, name, ms):
+    # The crash was detected 800 ms ago; its announcement has been in transit for no longer.
     context.fleet.instances.pop(name).close()
 
 
 @given("instances {first} and {second} cannot reach each other")
-def parted(context, first, second):
+def cut_link(context, first, second):
     context.fleet.network.cut_instances.add(frozenset({first, second}))
 
 
 @given("data centres {first} and {second} cannot reach each other")
-def divided(context, first, second):
+def cut_datacentres_apart(context, first, second):
     context.fleet.network.cut_datacentres.add(frozenset({first, second}))
 
 
-@when("data centres {first} and {second} reach each other once more")
-def joined(context, first, second):
+@when("data centres {first} and {second} are connected again")
+def reconnect_datacentres(context, first, second):
     context.fleet.network.cut_datacentres.discard(frozenset({first, second}))
 
 
-@given("the table of bars is {state} while servers end")
+@given("the table of bars is {state} while servers crash")
 @when("the table of bars is {state} again")
 def bars_table(context, state):
     context.fleet.suspicion_store.down = state == "down"
 
 
-@given("all instances were killed and have started again")
-@when("all instances are killed and start again")
+@given("all instances were killed and have restarted")
+@when("all instances are killed and restart")
 def all_killed(context):
     for name in list(context.fleet.instances):
         context.fleet.instances[name].close()
@@ -197,7 +194,7 @@
 
 @then("the table of bars was called at most {number:d} times")
 def bars_calls(context, number):
-    # Each process looks once at its start at most.
+    # Each process reads the table at most once, when it starts.
     assert context.fleet.suspicion_store.calls <= number, context.fleet.suspicion_store.calls
     assert len(context.fleet.suspicion_store.rows) == 1
 
@@ -214,22 +211,27 @@
             context.fleet.upstream.faults[name] = ServerFault(fault)
 
 
-def books(context):
+def registries(context):
     return [one.quarantine.registry for one in context.fleet.instances.values()]
 
 
-@then("nothing is suspect")
+@then("no request is suspect")
 def nothing_suspect(context):
-    context.run(context.clock.sleep, NEWS_MS)
+    context.run(context.clock.sleep, UPDATE_MS)
     suspects = [
-        one for book in books(context) for one in book.suspicions.values() if one.is_suspect
+        one
+        for registry in registries(context)
+        for one in registry.suspicions.values()
+        if one.is_suspect
     ]
     assert not suspects, suspects
 
 
-@then("nothing is barred")
+@then("no request is barred")
 def nothing_barred(context):
-    barred = [one for book in books(context) for one in book.suspicions.values() if one.bars]
+    barred = [
+        one for registry in registries(context) for one in registry.suspicions.values() if one.bars
+    ]
     assert not barred, barred
 
 
@@ -243,48 +245,50 @@
     return [name for name in records if name.startswith("llm")]
 
 
-def end_servers(context, ids):
-    """End servers as they crash by themselves."""
+def crash_servers(context, ids):
+    """Crash servers, without a request that causes it."""
     directory = next(iter(context.fleet.instances.values())).directory
     for id_ in ids:
         context.fleet.upstream.crash(directory.records[id_].server)
 
 
-@when("all model servers end while a plain stream request is under way")
-def end_all(context):
-    def send_and_end():
+@when("all model servers exit while a plain stream request is in flight")
+def exit_all(context):
+    def send_and_crash():
         task = gevent.spawn(attempt, context, "a-1", "p", "stream", b"plain")
         context.clock.sleep(20.0)
         for name in context.draining:
             context.fleet.add_server(name, "llm", "a", draining=True)
         context.clock.sleep(25.0)
-        end_servers(context, context.draining)
+        crash_servers(context, context.draining)
         task.join()
 
-    context.run(send_and_end)
+    context.run(send_and_crash)
     assert context.ends["p"][3] in {"broken", "unknown"}, context.ends["p"]
 
 
-@given("no connection to a server that has ended is refused")
+@given("no connection to a crashed server is refused")
 def never_refused(context):
     context.fleet.upstream.silent_crashes = True
 
 
-@when("all model servers but {left:d} end while {number:d} plain stream requests are under way")
-def end_many(context, left, number):
+@when("all model servers but {left:d} crash while {number:d} plain stream requests are in flight")
+def crash_many(context, left, number):
     names = itertools.cycle(context.fleet.instances)
 
-    def send_and_end():
+    def send_and_crash():
         tasks = [
             gevent.spawn(attempt, context, next(names), f"p{n}", "stream", b"p%d" % n)
             for n in range(number)
         ]
         context.clock.sleep(60.0)
-        end_servers(context, model_names(context)[left:])
+        crash_servers(context, model_names(context)[left:])
         gevent.joinall(tasks)
 
-    context.run(send_and_end)
-    assert any(one.is_suspect for book in books(context) for one in book.suspicions.values())
+    context.run(send_and_crash)
+    assert any(
+        one.is_suspect for registry in registries(context) for one in registry.suspicions.values()
+    )
 
 
 @when("the same {number:d} requests come again")
@@ -319,16 +323,19 @@
     assert max(context.took[id_] for id_ in context.attempts) <= ms
 
 
-@when("a server crashes every {ms:d} ms while {number:d} requests come, {alike:d} of them alike")
-def crashes(context, ms, number, alike):
-    """Requests come every 20 ms; those that fail come again once, as their callers do."""
+@when(
+    "a server crashes every {ms:d} ms while {number:d} requests come, "
+    "{identical:d} of them identical"
+)
+def crashes(context, ms, number, identical):
+    """Send a request every 20 ms; the callers of those that fail retry once."""
     rng = random.Random(5)
     context.fleet.upstream.tokens_per_ms = TOKENS_PER_MS
     upstream, fleet = context.fleet.upstream, context.fleet
     context.attempts = [f"r{n}" for n in range(number)]
 
     def call(n):
-        body = b"hot" if n < alike else b"r%d" % n
+        body = b"hot" if n < identical else b"r%d" % n
         names = list(fleet.instances)
         attempt(context, rng.choice(names), f"r{n}", "resumable", body)
         if context.ends[f"r{n}"][2]:
@@ -361,17 +368,20 @@
     assert len(served(context, context.attempts)) > number, len(served(context, context.attempts))
 
 
-@when("{number:d} plain stream requests with one body are under way and one of their servers ends")
+@when(
+    "{number:d} plain stream requests with one body are in flight and one of their servers "
+    "crashes"
+)
 def popular(context, number):
-    send_popular(context, number, "first", end=True)
+    send_popular(context, number, "first", crash=True)
 
 
 @when("{number:d} plain stream requests with the same body come at once")
-def popular_again(context, number):
-    context.attempts = send_popular(context, number, "then", end=False)
+def popular_copies(context, number):
+    context.attempts = send_popular(context, number, "then", crash=False)
 
 
-def send_popular(context, number, label, end):
+def send_popular(context, number, label, crash):
     names = itertools.cycle(context.fleet.instances)
     ids = [f"{label}{n}" for n in range(number)]
 
@@ -380,8 +390,8 @@
             gevent.spawn(attempt, context, next(names), id_, "stream", b"popular") for id_ in ids
         ]
         context.clock.sleep(60.0)
-        if end:
-            end_servers(context, [context.fleet.upstream.arrivals[ids[0]][0]])
+        if crash:
+            crash_servers(context, [context.fleet.upstream.arrivals[ids[0]][0]])
             context.clock.sleep(20.0)
             return
         gevent.joinall(tasks)
@@ -393,13 +403,15 @@
 @given("a deadly stream request was barred")
 def was_barred(context):
     send_series(context, context.fleet.instances, 3, 800)
-    assert all(one.bars == 1 for book in books(context) for one in book.suspicions.values())
-    context.ended_before = len(context.fleet.upstream.crashed)
+    assert all(
+        one.bars == 1 for registry in registries(context) for one in registry.suspicions.values()
+    )
+    context.crashed_before = len(context.fleet.upstream.crashed)
 
 
-@given("its bar has ended")
-def bar_ended(context):
-    # All instances sleep through it, which takes no ten minutes of heartbeats.
+@given("its bar has expired")
+def bar_expired(context):
+    # The clock jumps, so that ten minutes of heartbeats need not be played.
     context.clock.time += BAR_DURATIONS_MS[0]
     context.run(context.clock.sleep, 5_000.0)
 
@@ -410,22 +422,22 @@
 
 
 @then("the table of bars is empty")
-def no_bars(context):
+def table_is_empty(context):
     context.run(context.clock.sleep, 50.0)
     assert not context.fleet.suspicion_store.rows, context.fleet.suspicion_store.rows
 
 
-@then("one more server has ended")
+@then("one more server has crashed")
 def one_more(context):
-    assert len(context.fleet.upstream.crashed) == context.ended_before + 1
+    assert len(context.fleet.upstream.crashed) == context.crashed_before + 1
 
 
 @then("it is barred for {seconds:d} s everywhere")
 def barred_for(context, seconds):
-    for book in books(context):
-        (one,) = book.suspicions.values()
-        left_ms = one.barred_until - context.clock.now()
-        assert abs(left_ms - 1000.0 * seconds) < 3_000.0, left_ms
+    for registry in registries(context):
+        (one,) = registry.suspicions.values()
+        remaining_ms = one.barred_until - context.clock.now()
+        assert abs(remaining_ms - 1000.0 * seconds) < 3_000.0, remaining_ms
 
 
 @when("an operator clears it at {name}")
@@ -443,18 +455,18 @@
     def suspect_all():
         for n in range(number):
             now = context.clock.now()
-            lost = Interruption(f"{n:032x}", f"r{n}", 900.0, now)
-            quarantine.handle_crash(f"s-{n}", "llm", [lost])
+            interruption = Interruption(f"{n:032x}", f"r{n}", 900.0, now)
+            quarantine.handle_crash(f"s-{n}", "llm", [interruption])
             context.clock.sleep(1.0)
 
     context.run(suspect_all)
 
 
-@then("the book of {name} holds {number:d} entries, the bar among them")
-def book_holds(context, name, number):
-    book = context.fleet.instances[name].quarantine.registry.suspicions
-    assert len(book) == number, len(book)
-    assert sum(one.bars for one in book.values()) == 1
+@then("the quarantine of {name} holds {number:d} entries, the bar among them")
+def quarantine_holds(context, name, number):
+    suspicions = context.fleet.instances[name].quarantine.registry.suspicions
+    assert len(suspicions) == number, len(suspicions)
+    assert sum(one.bars for one in suspicions.values()) == 1
 
 
 @then("{number:d} evictions are counted there")
@@ -469,15 +481,15 @@
     context.run(context.clock.sleep, SETTLE_MS)
 
 
-@then("no instance would use the server that ended")
+@then("no instance would use the crashed server")
 def none_would_use(context):
-    (ended,) = context.fleet.upstream.crashed
+    (crashed,) = context.fleet.upstream.crashed
     for instance in context.fleet.instances.values():
-        state = instance.router.state(instance.directory.records[ended].server)
+        state = instance.router.state(instance.directory.records[crashed].server)
         assert not state.usable(context.clock.now())
 
 
-@given("stage servers enc-1 to enc-{number:d}, which do so as well")
+@given("stage servers enc-1 to enc-{number:d}, which restart likewise")
 def enc_servers(context, number):
     context.fleet.upstream.crash_after_ms["deadly pieces"] = DEADLY_MS
     add_servers(context, "enc", number)
@@ -496,7 +508,7 @@
     "{number:d} others"
 )
 def deadly_pieces(context, times, ms, number):
-    """Enough others come first to keep every server busy, so that the pieces share a call."""
+    """Send enough others first to keep every server busy, so that the pieces share a call."""
     names = itertools.cycle(context.fleet.instances)
     context.others, context.attempts = [], []
 
@@ -516,26 +528,26 @@
     context.run(send_all)
 
 
-@then("all others are served")
+@then("all other requests are served")
 def others_served(context):
     lost = set(context.others) - set(served(context, context.others))
     assert not lost, [context.ends[id_] for id_ in lost]
 
 
-@when("{number:d} requests with stages are under way and their stage server ends")
-def stage_server_ends(context, number):
+@when("{number:d} requests with stages are in flight and their stage server crashes")
+def stage_server_crashes(context, number):
     names = itertools.cycle(context.fleet.instances)
     context.attempts = [f"s{n}" for n in range(number)]
 
-    def send_and_end():
+    def send_and_crash():
         tasks = [gevent.spawn(staged, context, id_, next(names), id_) for id_ in context.attempts]
         context.clock.sleep(100.0)
         calls = context.fleet.upstream.piece_calls
         fullest = max(calls, key=lambda one: len(one.pieces))
-        end_servers(context, [fullest.server])
+        crash_servers(context, [fullest.server])
         gevent.joinall(tasks)
 
-    context.run(send_and_end)
+    context.run(send_and_crash)
 
 
 @then("their pieces took at most {number:d} calls")
@@ -544,12 +556,12 @@
     assert len(calls) <= number, [(one.server, len(one.pieces)) for one in calls]
 
 
-@then("the last one had no pieces of others")
-def alone(context):
+@then("the call that crashed the last server held no pieces of other requests")
+def no_pieces_of_others(context):
     upstream = context.fleet.upstream
     last = [one for one in upstream.piece_calls if one.server == upstream.crashed[-1]][-1]
     assert {piece.key for piece in last.pieces} == {"deadly pieces"}, last
-    # The first one had, so that this tells something.
+    # The first call did hold pieces of others, so that the check above is not vacuous.
     first = [one for one in upstream.piece_calls if one.server == upstream.crashed[0]][-1]
     assert len({piece.key for piece in first.pieces}) > 1, first
 
@@ -560,8 +572,8 @@
         instance.settings = replace(instance.settings, retry_reserve=float(number))
 
 
-@given("the instance that does not follow the store and is sent the request cannot write bars")
-def cannot_write(context):
+@given("the instance that gets the request does not follow the store and cannot write bars")
+def instance_cannot_write(context):
     instances = context.fleet.instances
     context.sent_to = next(
         n for n, one in instances.items() if not one.fleet.reader_election.reading
@@ -576,15 +588,17 @@
     send_series(context, [context.sent_to], times, ms)
 
 
-@given("the table of bars holds one that was over {hours:d} hours ago and one that is in force")
+@given("the table of bars holds one that expired {hours:d} hours ago and one that is in force")
 def old_bars(context, hours):
     wall = context.clock.wall()
-    for mark, at in (
+    for fingerprint, at in (
         ("0a" * 16, wall - BAR_DURATIONS_MS[0] - 3_600_000.0 * hours),
         ("0b" * 16, wall),
     ):
-        ends = (ServerCrash("s", 60.0, at),)
-        context.fleet.suspicion_store.write(Suspicion(mark, "llm", ends, bars=1, barred_at=at))
+        server_crashes = (ServerCrash("s", 60.0, at),)
+        context.fleet.suspicion_store.write(
+            Suspicion(fingerprint, "llm", server_crashes, bars=1, barred_at=at)
+        )
 
 
 @then("the table holds only the one that is in force")
@@ -594,12 +608,12 @@
     ], context.fleet.suspicion_store.rows
 
 
-@then("the table of bars holds it")
+@then("the table of bars holds its suspicion")
 def holds_it(context):
     assert len(context.fleet.suspicion_store.rows) == 1, context.fleet.suspicion_store.rows
 
 
-@when("{number:d} bars come at once on an instance")
+@when("an instance has {number:d} bars to write at once")
 def bars_at_once(context, number):
     context.run(context.clock.sleep, 1_000.0)
     instance = next(iter(context.fleet.instances.values()))
