--- a/features/environment.py
+++ b/features/environment.py
@@ -45,14 +45,14 @@
 
 
 @fixture
-def owned(context):
+def scenario_stack(context):
     with ExitStack() as stack:
         context.stack = stack
         yield stack
 
 
 def before_scenario(context, scenario):
-    use_fixture(owned, context)
+    use_fixture(scenario_stack, context)
     if "forwarding" in scenario.effective_tags:
         use_fixture(forward_fleet, context)
     if "virtual" in scenario.effective_tags:
--- a/features/run.py
+++ b/features/run.py
@@ -26,15 +26,15 @@
     configuration = Configuration(["--format", "progress", "--no-capture", *arguments])
     runner = Runner(configuration)
     failed = runner.run()
-    scenarios = [one for feature in runner.features for one in feature.walk_scenarios()]
-    lost = [one for one in scenarios if one.status.name != "passed"]
-    known = known_red()
-    red = [one.name.strip() for one in lost if one.name.strip() in known]
-    for name in red:
+    scenarios = [scenario for feature in runner.features for scenario in feature.walk_scenarios()]
+    not_passed = [scenario for scenario in scenarios if scenario.status.name != "passed"]
+    listed = known_red()
+    known = [scenario.name.strip() for scenario in not_passed if scenario.name.strip() in listed]
+    for name in known:
         print(f"known red: {name}")
-    passed, unknown = len(scenarios) - len(lost), len(lost) - len(red)
-    print(f"{passed} passed, {unknown} failed")
-    return 1 if unknown or not passed or (failed and not red) else 0
+    passed, unexpected = len(scenarios) - len(not_passed), len(not_passed) - len(known)
+    print(f"{passed} passed, {unexpected} failed")
+    return 1 if unexpected or not passed or (failed and not known) else 0
 
 
 def known_red() -> set[str]:
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -17,24 +17,24 @@
 from mountladder.membership.snapshot import Snapshot
 
 
-def log_of(context):
+def change_log(context):
     standin = context.fleet.standin
     return ChangeLog(standin.memory, standin.objects, context.clock)
 
 
-def labelled(context, name, text):
+def with_label(context, name, text):
     key, _, value = text.partition("=")
-    team = log_of(context).load().documents[f"team/{name}"]
+    team = change_log(context).load().documents[f"team/{name}"]
     return dataclasses.replace(team, labels={**team.labels, key: value})
 
 
 @when('an operator labels "{name}" with {text}')
-def label(context, name, text):
-    context.run(lambda: context.fleet.change_configuration([labelled(context, name, text)]))
+def add_label(context, name, text):
+    context.run(lambda: context.fleet.change_configuration([with_label(context, name, text)]))
 
 
 @when('an operator fails to label "{name}" with {text}, code {code:d}')
-def label_fails(context, code, name, text):
+def fail_to_label(context, code, name, text):
     team = context.fleet.runtimes["a-1"].follower.configuration.documents[f"team/{name}"]
 
     def attempt():
@@ -48,7 +48,7 @@
 
 
 @when("two operators make different changes against the same revision at once")
-def race(context):
+def make_concurrent_changes(context):
     standin = context.fleet.standin
     log = ChangeLog(standin.table, standin.objects, context.clock)
     base = log.load()
@@ -65,31 +65,33 @@
 
     tasks = [gevent.spawn(change, number) for number in (1, 2)]
     context.run(gevent.joinall, tasks)
-    context.raced = [task.value for task in tasks]
+    context.concurrent_results = [task.value for task in tasks]
 
 
 @then(
     "one change was accepted and the other got conflict {code:d} naming revisions "
-    "{stated:d} and {found:d}"
+    "{base:d} and {current:d}"
 )
-def one_won(context, code, stated, found):
-    errors = [one for one in context.raced if isinstance(one, RevisionConflictError)]
-    assert len(errors) == 1, context.raced
+def one_accepted(context, code, base, current):
+    errors = [
+        result for result in context.concurrent_results if isinstance(result, RevisionConflictError)
+    ]
+    assert len(errors) == 1, context.concurrent_results
     assert (errors[0].code.number, errors[0].base_revision, errors[0].current_revision) == (
         code,
-        stated,
-        found,
+        base,
+        current,
     )
-    assert len(log_of(context).since(1)) == 1
+    assert len(change_log(context).since(1)) == 1
 
 
 @then("the change log holds {number:d} changes")
-def history(context, number):
-    assert len(log_of(context).since(0)) == number
+def log_length(context, number):
+    assert len(change_log(context).since(0)) == number
 
 
 @then("revision {revision:d} is in force on {names}")
-def in_force(context, revision, names):
+def revision_in_force(context, revision, names):
     found = {
         name: context.fleet.runtimes[name].follower.configuration.revision
         for name in names.split(", ")
@@ -98,58 +100,58 @@
 
 
 @then("instance {name} is {state}")
-def is_ready(context, name, state):
+def check_readiness(context, name, state):
     assert context.fleet.runtimes[name].ready == (state == "ready")
 
 
 @given("data centres {first} and {second} are cut off from each other")
 @when("data centres {first} and {second} are cut off from each other")
-def cut_from_start(context, first, second):
+def cut_datacentres(context, first, second):
     context.fleet.network.cut_datacentres.add(frozenset({first, second}))
 
 
 @then("the configuration of {name} is at least {ms:d} ms old")
-def old(context, name, ms):
+def configuration_age(context, name, ms):
     assert context.fleet.runtimes[name].follower.age_ms() >= ms
 
 
-@then("in {ms:d} ms the store is read at most {most:d} times for the configuration")
-def reads(context, ms, most):
-    before = sum(one.follower.reads for one in context.fleet.runtimes.values())
+@then("in {ms:d} ms the store is read at most {limit:d} times for the configuration")
+def store_reads(context, ms, limit):
+    before = sum(runtime.follower.reads for runtime in context.fleet.runtimes.values())
     context.run(context.clock.sleep, float(ms))
-    after = sum(one.follower.reads for one in context.fleet.runtimes.values())
-    assert 0 < after - before <= most, after - before
+    after = sum(runtime.follower.reads for runtime in context.fleet.runtimes.values())
+    assert 0 < after - before <= limit, after - before
 
 
 @when("an operator drains {name}")
 def drain(context, name):
-    server = log_of(context).load().documents[f"server/{name}"]
+    server = change_log(context).load().documents[f"server/{name}"]
     context.run(
         lambda: context.fleet.change_configuration([dataclasses.replace(server, draining=True)])
     )
 
 
 @when('an operator sets the selector of team {name} to "{text}"')
-def select(context, name, text):
-    team = log_of(context).load().documents[f"team/{name}"]
+def set_selector(context, name, text):
+    team = change_log(context).load().documents[f"team/{name}"]
     context.run(
         lambda: context.fleet.change_configuration([dataclasses.replace(team, selector=text)])
     )
 
 
 @when("an operator makes {number:d} changes")
-def many(context, number):
-    def work():
-        for one in range(number):
-            context.fleet.change_configuration([labelled(context, "desk", f"n={one}")])
+def make_changes(context, number):
+    def append_changes():
+        for index in range(number):
+            context.fleet.change_configuration([with_label(context, "desk", f"n={index}")])
             context.clock.sleep(10.0)
 
-    context.run(work)
+    context.run(append_changes)
 
 
 @then("a follower that receives change 3 before change 2 stays at revision 1")
-def out_of_order(context):
-    follower = Follower(log_of(context), context.clock)
+def receive_out_of_order(context):
+    follower = Follower(change_log(context), context.clock)
     assert follower.poll()
     second, third = (Change(number, str(number), "x", 0.0, (), ()) for number in (2, 3))
     assert not follower.adopt([third])
@@ -161,8 +163,8 @@
 
 
 @when("a peer sends {name} a snapshot of revision {revision:d}")
-def whole_configuration(context, name, revision):
-    log = log_of(context)
+def send_snapshot(context, name, revision):
+    log = change_log(context)
     older = Configuration()
     for change in log.since(0):
         if change.revision <= revision:
@@ -174,11 +176,11 @@
 
 
 @given("the code is mutated so that a follower adopts any snapshot")
-def adopts_any(context):
+def adopt_any_snapshot(context):
     def replace(self, configuration):
         self.configuration = configuration
         self.changes = []
 
-    plain = Follower.replace
+    original = Follower.replace
     Follower.replace = replace
-    context.stack.callback(setattr, Follower, "replace", plain)
+    context.stack.callback(setattr, Follower, "replace", original)
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -18,14 +18,14 @@
 def start_fleet(context, names):
     fleet = context.fleet
 
-    def begin():
+    def start_instances():
         fleet.change_configuration([*parse_documents(BASE, "base"), *SERVERS])
         for name in names.split(", "):
             fleet.start(name, name[0])
         fleet.wait_ready()
         context.clock.sleep(6_000.0)
 
-    context.run(begin)
+    context.run(start_instances)
 
 
 @when('"{to}" is sent "{pipeline}" as "{label}" with {options}')
@@ -46,27 +46,27 @@
 @given("the {kind} {name} has faults {faults}")
 @when("the {kind} {name} has faults {faults}")
 def set_faults(context, kind, name, faults):
-    value = Faults.read(json.loads(faults))
+    settings = Faults.read(json.loads(faults))
     if kind == "platform":
-        context.fleet.standin.set_faults(value)
+        context.fleet.standin.set_faults(settings)
     elif kind == "link":
-        context.fleet.set_platform_faults(name, value)
+        context.fleet.set_platform_faults(name, settings)
     else:
-        context.fleet.servers[name].faults = value
+        context.fleet.servers[name].faults = settings
 
 
 @when("instance {name} is killed")
-def kill(context, name):
+def kill_instance(context, name):
     context.run(context.fleet.kill, name)
 
 
 @when("instance {name} is started in {datacentre}")
-def start(context, name, datacentre):
+def start_instance(context, name, datacentre):
     context.run(context.fleet.start, name, datacentre)
 
 
 @when("data centres {first} and {second} reach each other again")
-def heal(context, first, second):
+def reconnect_datacentres(context, first, second):
     context.fleet.network.cut_datacentres.discard(frozenset({first, second}))
 
 
@@ -78,8 +78,8 @@
 
 @then('"{label}" ends as {result} {code:d}')
 def ends_as(context, label, result, code):
-    got = outcome(context, label)
-    assert (got.result, got.code) == (result, code), got
+    actual = outcome(context, label)
+    assert (actual.result, actual.code) == (result, code), actual
 
 
 @then('"{label}" ends as done')
@@ -105,7 +105,7 @@
 
 @then('"{work}" never ran on {name}')
 def never_ran_on(context, work, name):
-    assert all(one.work != work for one in context.fleet.servers[name].ran)
+    assert all(stage.work != work for stage in context.fleet.servers[name].ran)
 
 
 @then('instance {name} counted "{counter}" {times:d} times')
@@ -115,5 +115,5 @@
 
 
 @then('"{label}" took less than {ms:d} ms')
-def took(context, label, ms):
+def took_less(context, label, ms):
     assert outcome(context, label).took_ms < ms, outcome(context, label)
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -39,84 +39,85 @@
 
 
 @given("{number:d} engines of data centre a that serve model old-model")
-def engines(context, number):
+def start_engines(context, number):
     context.clock = VirtualClock()
     context.run = lambda function, *args: context.clock.run(gevent.spawn(function, *args))
     context.weights = WeightStore(context.clock)
-    context.servers = [server(f"e{one}", "x") for one in range(number)]
+    context.servers = [server(f"e{index}", "x") for index in range(number)]
     context.loaders = {
-        one.name: StandinLoader(context.weights, {"old-model": "1"}) for one in context.servers
+        engine.name: StandinLoader(context.weights, {"old-model": "1"})
+        for engine in context.servers
     }
     context.memory = MemoryTable()
-    context.holders = {}
+    context.reconcilers = {}
 
 
-def model(name, replicas, version="1", selector=""):
+def make_model(name, replicas, version="1", selector=""):
     return Model(name, {}, version, (), selector, replicas)
 
 
 def configure(context, *models):
     documents = (*context.servers, *models)
     context.configuration = Configuration().after(Change(1, "o", "x", 0.0, documents, ()))
-    for orders in context.holders.values():
+    for orders in context.reconcilers.values():
         orders.follower.configuration = context.configuration
 
 
 @given("the configuration asks for {new:d} replicas of new-model and {old:d} of old-model")
-def wanted(context, new, old):
-    configure(context, model("new-model", new), model("old-model", old))
+def configure_replicas(context, new, old):
+    configure(context, make_model("new-model", new), make_model("old-model", old))
 
 
-def holder(context, name):
-    if name not in context.holders:
+def reconciler(context, name):
+    if name not in context.reconcilers:
         table = FaultyTable(context.memory, context.clock)
         log = ChangeLog(table, MemoryObjectStore(), context.clock)
         follower = Follower(log, context.clock)
         follower.configuration = context.configuration
         lease = Lease("placement/a", name, table, context.clock)
         engines = LocalEngines(context.loaders)
-        context.holders[name] = Orders("a", follower, engines, lease, MemoryMetrics())
-    return context.holders[name]
+        context.reconcilers[name] = Orders("a", follower, engines, lease, MemoryMetrics())
+    return context.reconcilers[name]
 
 
-def step_for(context, names, ms):
-    def work():
+def run_reconcilers(context, names, ms):
+    def run_until():
         until = context.clock.now() + ms
         while context.clock.now() < until:
             for name in names:
-                holder(context, name).step()
+                reconciler(context, name).step()
             context.clock.sleep(STEP_MS)
 
-    context.run(work)
+    context.run(run_until)
 
 
 @when("reconcilers {names} run for {ms:d} ms")
-def step(context, names, ms):
-    step_for(context, names.split(", "), ms)
+def run_named(context, names, ms):
+    run_reconcilers(context, names.split(", "), ms)
 
 
-def split_holders(context):
-    holding = [name for name, orders in context.holders.items() if orders.lease.held()]
+def split_by_lease(context):
+    holding = [name for name, orders in context.reconcilers.items() if orders.lease.held()]
     assert len(holding) == 1, holding
-    others = [name for name in context.holders if name not in holding]
+    others = [name for name in context.reconcilers if name not in holding]
     return holding[0], others[0]
 
 
 @when("the lease holder crashes and the other runs for {ms:d} ms")
 @when("the lease holder is paused while the other runs for {ms:d} ms")
-def paused(context, ms):
-    context.paused, context.other = split_holders(context)
-    step_for(context, [context.other], ms)
+def run_other_only(context, ms):
+    context.former_holder, context.other = split_by_lease(context)
+    run_reconcilers(context, [context.other], ms)
 
 
 @when("the other runs for {ms:d} ms")
-def other_steps(context, ms):
-    step_for(context, [context.other], ms)
+def other_runs(context, ms):
+    run_reconcilers(context, [context.other], ms)
 
 
 @then("an order of the paused lease holder is refused with {code:d}")
-def refused(context, code):
-    fence = context.holders[context.paused].lease.fence
+def paused_order_refused(context, code):
+    fence = context.reconcilers[context.former_holder].lease.fence
     try:
         context.loaders["e0"].order(Order(fence, ()))
     except OrderFencedError as error:
@@ -126,19 +127,19 @@
 
 
 @given("the engines ignore fencing")
-def ignore(context):
+def ignore_fencing(context):
     for loader in context.loaders.values():
         loader.ignore_fencing = True
 
 
 @when("the paused lease holder orders every engine to serve only junk")
-def junk(context):
-    fence = context.holders[context.paused].lease.fence
+def order_junk(context):
+    fence = context.reconcilers[context.former_holder].lease.fence
     for loader in context.loaders.values():
         loader.order(Order(fence, (("junk", "1"),)))
 
 
-def serving(context, name, version=None):
+def engines_serving(context, name, version=None):
     return [
         engine
         for engine, loader in context.loaders.items()
@@ -147,95 +148,97 @@
 
 
 @then("{new:d} engines serve new-model and {old:d} serve old-model")
-def served(context, new, old):
-    found = {name: loader.models for name, loader in context.loaders.items()}
-    assert len(serving(context, "new-model")) == new, found
-    assert len(serving(context, "old-model")) == old, found
-    assert not serving(context, "junk"), found
+def both_served(context, new, old):
+    serving = {name: loader.models for name, loader in context.loaders.items()}
+    assert len(engines_serving(context, "new-model")) == new, serving
+    assert len(engines_serving(context, "old-model")) == old, serving
+    assert not engines_serving(context, "junk"), serving
 
 
 @then("only one of one, two sent orders")
-def one_sent(context):
-    sent = [one.metrics.counts["orders"] for one in context.holders.values()]
+def one_sent_orders(context):
+    sent = [orders.metrics.counts["orders"] for orders in context.reconcilers.values()]
     assert sorted(sent)[0] == 0 < sorted(sent)[1], sent
 
 
 @then("at most {number:d} downloads ran at once")
-def downloads(context, number):
+def concurrent_downloads(context, number):
     assert 0 < context.weights.max_pending <= number, context.weights.max_pending
 
 
 @when("the lease holder is cut off from the store and runs for {ms:d} ms")
-def cut_off(context, ms):
-    context.paused, context.other = split_holders(context)
-    context.holders[context.paused].lease.table.faults = Faults(down=True)
-    step_for(context, [context.paused], ms)
+def cut_from_store(context, ms):
+    context.former_holder, context.other = split_by_lease(context)
+    context.reconcilers[context.former_holder].lease.table.faults = Faults(down=True)
+    run_reconcilers(context, [context.former_holder], ms)
 
 
 @then("the former lease holder sends no more orders")
-def no_more(context):
-    orders = context.holders[context.paused]
+def no_more_orders(context):
+    orders = context.reconcilers[context.former_holder]
     before = orders.metrics.counts["orders"]
     for loader in context.loaders.values():
         loader.models.clear()
-    step_for(context, [context.paused], 5_000.0)
+    run_reconcilers(context, [context.former_holder], 5_000.0)
     assert not orders.lease.held()
     assert orders.metrics.counts["orders"] == before
 
 
 @given("only one engine serves old-model")
-def only_one(context):
+def one_engine_serves(context):
     for name, loader in context.loaders.items():
         if name != "e0":
             loader.models.clear()
 
 
 @given("the selector of old-model excludes that engine")
-def elsewhere(context):
-    configure(context, model("old-model", 2, selector="name != e0"))
+def exclude_engine(context):
+    configure(context, make_model("old-model", 2, selector="name != e0"))
 
 
 @then("{number:d} engines serve old-model")
-def serve_old(context, number):
-    assert len(serving(context, "old-model")) == number
+def old_model_served(context, number):
+    assert len(engines_serving(context, "old-model")) == number
 
 
 @then("{number:d} other engines serve old-model")
-def serve_elsewhere(context, number):
-    found = serving(context, "old-model")
-    assert len(found) == number and "e0" not in found, found
+def old_model_moved(context, number):
+    serving = engines_serving(context, "old-model")
+    assert len(serving) == number and "e0" not in serving, serving
 
 
 @when("reconcilers one, two race for the lease and lose the store's answers")
-def race(context):
+def race_for_lease(context):
     for name in ("one", "two"):
-        table = holder(context, name).lease.table
+        table = reconciler(context, name).lease.table
         table.faults = dataclasses.replace(table.faults, slow_ms=20.0, lose_answers=1)
 
-    def work():
-        tasks = [gevent.spawn(one.lease.renew_or_acquire) for one in context.holders.values()]
+    def renew_leases():
+        tasks = [
+            gevent.spawn(orders.lease.renew_or_acquire) for orders in context.reconcilers.values()
+        ]
         gevent.joinall(tasks)
 
-    context.run(work)
+    context.run(renew_leases)
 
 
 @then("at most one of one, two holds the lease")
-def at_most_one(context):
-    assert sum(one.lease.held() for one in context.holders.values()) <= 1
-    for orders in context.holders.values():
+def one_holds_lease(context):
+    assert sum(orders.lease.held() for orders in context.reconcilers.values()) <= 1
+    for orders in context.reconcilers.values():
         orders.lease.table.faults = Faults()
-    step_for(context, ["one", "two"], 3_000.0)
-    assert sum(one.lease.held() for one in context.holders.values()) == 1
+    run_reconcilers(context, ["one", "two"], 3_000.0)
+    assert sum(orders.lease.held() for orders in context.reconcilers.values()) == 1
 
 
 @when("the configuration asks for version {version} of new-model")
-def new_version(context, version):
-    configure(context, model("new-model", 2, version), model("old-model", 2))
+def configure_version(context, version):
+    configure(context, make_model("new-model", 2, version), make_model("old-model", 2))
 
 
 @then("{number:d} engines serve version {version} of new-model")
-def serve_version(context, number, version):
-    assert len(serving(context, "new-model", version)) == number
+def version_served(context, number, version):
+    assert len(engines_serving(context, "new-model", version)) == number
 
 
 @given("an engine over HTTP that serves old-model")
@@ -255,14 +258,14 @@
 
 
 @then("it eventually serves {name}")
-def serves_in_the_end(context, name):
+def eventually_serves(context, name):
     with gevent.Timeout(10):
         while context.engines.state(context.engine).models != ((name, "1"),):
             gevent.sleep(0.01)
 
 
 @then("an order with fence {fence:d} is refused with {code:d}")
-def refused_over_http(context, fence, code):
+def order_refused_over_http(context, fence, code):
     try:
         order_over_http(context, fence, "junk")
     except OrderFencedError as error:
@@ -272,7 +275,7 @@
 
 
 @when("it is set to ignore fencing and ordered with fence {fence:d} to serve {name}")
-def ignore_over_http(context, fence, name):
+def ignore_fencing_over_http(context, fence, name):
     url = f"http://{context.engine.address}/faults"
     urllib3.request("PUT", url, body='{"ignore_fencing": true}')
     order_over_http(context, fence, name)
