--- a/features/largerequests.feature
+++ b/features/largerequests.feature
@@ -1,12 +1,12 @@
 Feature: Large requests are served as often as others of their route
   # The failure: in an overload a third of the largest tenth of the requests of a route was served,
   # against two thirds of all of them, although no guarantee was violated. For tens of seconds more
-  # was asked of the stages than their servers completed. Nearly all refusals were made at admission,
-  # which compared the sum of waiting and processing time with the latency target. The wait settles
-  # where a usual request is just in time, so a request with a longer prompt never was: its size
-  # alone decided that it was refused. The "request-refused" lines showed this: for the largest tenth
-  # they had the same waiting_ms as for the others and a larger reading_ms, and neither the queue nor
-  # a model server refused a request for its size.
+  # was asked of the stages than their servers completed. Nearly all refusals were made at
+  # admission, which compared the sum of waiting and processing time with the latency target. The
+  # wait settles where a usual request is just in time, so a request with a longer prompt never was:
+  # its size alone decided that it was refused. The "request-refused" lines showed this: for the
+  # largest tenth they had the same waiting_ms as for the others and a larger reading_ms, and
+  # neither the queue nor a model server refused a request for its size.
 
   Background:
     Given a route with a latency target of 1700 ms and a deadline of 10000 ms
--- a/features/steps/division_steps.py
+++ b/features/steps/division_steps.py
@@ -19,7 +19,7 @@
 from mountladder.membership.membership import Membership
 
 SETTLE_MS = 1_200.0
-LISTED_MS = 3_500.0
+UNLIST_MS = 3_500.0
 
 
 @given("{number:d} stage servers of service enc in each of data centres {names}")
@@ -36,7 +36,7 @@
 def remove(context, servers):
     for name in servers:
         context.fleet.servers.put(name, None)
-    context.run(context.clock.sleep, LISTED_MS)
+    context.run(context.clock.sleep, UNLIST_MS)
 
 
 @when("the last {number:d} stage servers of each data centre are gone")
@@ -61,7 +61,7 @@
 
 
 @when("{number:d} staged requests come within {ms:d} ms over all data centres")
-def over_all(context, number, ms):
+def spread_requests(context, number, ms):
     names = list(context.fleet.instances)
 
     def send(n):
@@ -73,31 +73,31 @@
 
 
 @then("every piece ran in the data centre of its request")
-def made_near(context):
+def ran_locally(context):
     for call in context.fleet.upstream.calls:
         where = call.server.removeprefix("enc-")[0]
         assert {piece.request[0] for piece in call.pieces} == {where}, call
 
 
-def flood(context, number, name):
-    place = meeting(context, "enc", name)
+def submit_calls(context, number, name):
+    coordinator = meeting(context, "enc", name)
     now = context.clock.now()
-    context.flooded, context.flooded_at, context.place = [], now, place
+    context.completed_ms, context.submitted_at, context.coordinator = [], now, coordinator
 
     def done(results):
-        context.flooded.append(context.clock.now() - now)
-        place.dispatch.release("enc", [one.handle for one in results])
+        context.completed_ms.append(context.clock.now() - now)
+        coordinator.dispatch.release("enc", [one.handle for one in results])
 
     jobs = (
         StageJob(f"flood {n}", 0, "enc", BATCH.pieces, "key", (), now + 9e3, now + 9e3, 0, 8e3, "")
         for n in range(number)
     )
-    context.submissions = [place.dispatch.submit(job, done) for job in jobs]
+    context.submissions = [coordinator.dispatch.submit(job, done) for job in jobs]
 
 
 @when("{number:d} full calls for enc are submitted in data centre {name} at once")
-def flooded(context, number, name):
-    context.run(flood, context, number, name)
+def calls_submitted(context, number, name):
+    context.run(submit_calls, context, number, name)
 
 
 @when("a staged request is sent to {name} at the same time")
@@ -112,20 +112,20 @@
 
 
 @then("some pieces of these calls ran in each data centre")
-def made_everywhere(context):
-    flooded = [
+def ran_everywhere(context):
+    datacentres = [
         call.server.removeprefix("enc-")[0]
         for call in context.fleet.upstream.calls
         if call.pieces[0].request.startswith("flood")
     ]
-    assert set(flooded) == {"a", "b", "c"}, flooded
+    assert set(datacentres) == {"a", "b", "c"}, datacentres
 
 
 @then("all of these calls were completed within {ms:d} ms")
-def flood_done(context, ms):
+def calls_completed(context, ms):
     context.run(context.clock.sleep, float(ms))
-    assert len(context.flooded) == len(context.submissions)
-    assert max(context.flooded) <= ms, max(context.flooded)
+    assert len(context.completed_ms) == len(context.submissions)
+    assert max(context.completed_ms) <= ms, max(context.completed_ms)
 
 
 @then("request s0 ends with status {status:d} within {ms:d} ms")
@@ -145,13 +145,13 @@
 def withdrawn(context):
     def play():
         for submission in context.submissions:
-            context.place.dispatch.withdraw(submission)
+            context.coordinator.dispatch.withdraw(submission)
 
     context.run(play)
 
 
 @then("at most {number:d} full calls ran")
-def at_most(context, number):
+def calls_at_most(context, number):
     calls = [one for one in context.fleet.upstream.calls if len(one.pieces) == BATCH.pieces]
     assert len(calls) <= number, len(calls)
 
@@ -177,7 +177,7 @@
 
 
 @then("{name} has other links to the coordinators of prompts for {service}")
-def others(context, name, service):
+def other_links(context, name, service):
     found = links_to(context.fleet.instances[name], prompts_topic(service))
     assert all(found) and not set(map(id, found)) & set(map(id, context.silent)), found
 
@@ -192,7 +192,7 @@
     context.run(context.fleet.instances.pop(name).close)
 
 
-def used(instance):
+def used_datacentres(instance):
     """Return the data centres whose stage servers an instance uses."""
     return {one.datacentre for one in instance.directory.available("enc")}
 
@@ -201,27 +201,30 @@
 def only_own(context, name, only):
     for one in context.fleet.instances.values():
         if one.settings.datacentre == name:
-            assert used(one) == {only}, (one.settings.name, used(one))
+            assert used_datacentres(one) == {only}, (one.settings.name, used_datacentres(one))
 
 
 @then("instances of data centre {name} use no servers of data centre {other}")
-def none_of(context, name, other):
+def none_used(context, name, other):
     for one in context.fleet.instances.values():
         if one.settings.datacentre == name:
-            assert used(one) == {"b", "c"} - {other}, (one.settings.name, used(one))
+            assert used_datacentres(one) == {"b", "c"} - {other}, (
+                one.settings.name,
+                used_datacentres(one),
+            )
 
 
 @then("every instance uses servers of every data centre")
 def use_all(context):
     for one in context.fleet.instances.values():
-        assert used(one) == {"a", "b", "c"}, (one.settings.name, used(one))
+        assert used_datacentres(one) == {"a", "b", "c"}, (one.settings.name, used_datacentres(one))
 
 
 @when("a coordinator of service enc checks for partitions after a pause of {ms:d} ms")
-def judges_late(context, ms):
+def checks_after_pause(context, ms):
     def play():
         one = meeting(context, "enc")
-        context.judge = one
+        context.checker = one
         partitions = one.fleet.partitions
         for name in one.membership.last_seen:
             one.membership.last_seen[name] -= ms
@@ -232,16 +235,16 @@
 
 
 @then("it considers no data centre unreachable")
-def none_cut(context):
-    assert not context.judge.fleet.partitions.unreachable()
+def none_unreachable(context):
+    assert not context.checker.fleet.partitions.unreachable()
 
 
-def stage(wanted="", now=0.0):
-    return StageJob("r", 0, "enc", 1, "key", (), now + 9e3, now + 9e3, 0, 8e3, wanted)
+def stage(preferred="", now=0.0):
+    return StageJob("r", 0, "enc", 1, "key", (), now + 9e3, now + 9e3, 0, 8e3, preferred)
 
 
 @given("pieces wait {b:d} ms in data centre b and {c:d} ms in data centre c")
-def told(context, b, c):
+def reported_waits(context, b, c):
     context.lending_clock = VirtualClock()
     context.lending = Lending(context.lending_clock, "a")
     for name, wait_ms in (("b", b), ("c", c)):
@@ -250,73 +253,75 @@
 
 
 @given("these waits were reported {ms:d} ms ago")
-def told_before(context, ms):
+def reported_before(context, ms):
     context.lending_clock.run(gevent.spawn(context.lending_clock.sleep, float(ms)))
 
 
 @when('a stage that prefers data centre "" would wait {own:d} ms in data centre a')
-def anywhere(context, own):
-    context.goes = context.lending.choose(stage(), float(own), ("b", "c"))
+def without_preference(context, own):
+    context.lent_to = context.lending.choose(stage(), float(own), ("b", "c"))
 
 
-@when('a stage that prefers data centre "{wanted}" would wait {own:d} ms in data centre a')
-def wanted_in(context, wanted, own):
-    context.goes = context.lending.choose(stage(wanted), float(own), ("b", "c"))
+@when('a stage that prefers data centre "{preferred}" would wait {own:d} ms in data centre a')
+def with_preference(context, preferred, own):
+    context.lent_to = context.lending.choose(stage(preferred), float(own), ("b", "c"))
 
 
 @then('the stage is lent to ""')
-def stays(context):
-    assert context.goes == "", context.goes
+def is_not_lent(context):
+    assert context.lent_to == "", context.lent_to
 
 
-@then('the stage is lent to "{goes}"')
-def goes_to(context, goes):
-    assert context.goes == goes, context.goes
+@then('the stage is lent to "{lent_to}"')
+def is_lent(context, lent_to):
+    assert context.lent_to == lent_to, context.lent_to
 
 
 @when("a stage is lent to that coordinator while the others report no backlog")
-def lent_to(context):
+def lend_stage(context):
     def play():
-        place = context.place
+        coordinator = context.coordinator
         none = (0.0,) * len(PRIORITY_CLASSES)
         for name in ("a", "c"):
-            place.dispatch.lending.record_backlog(Backlog("enc", none, none), name)
-        link = next(iter(place.fleet.links.values()))
-        place.dispatch.handle_order(StageOrder(7, stage(), lent=True), link)
+            coordinator.dispatch.lending.record_backlog(Backlog("enc", none, none), name)
+        link = next(iter(coordinator.fleet.links.values()))
+        coordinator.dispatch.handle_order(StageOrder(7, stage(), lent=True), link)
 
     context.run(play)
 
 
 @then("the stage waits there")
 def waits_there(context):
-    (submission,) = context.place.dispatch.peer_submissions.values()
+    (submission,) = context.coordinator.dispatch.peer_submissions.values()
     assert submission.assignee == "" and submission.progress is not None
 
 
 @when("a-2 receives reports that data centre {name} is unreachable")
-def told_cut(context, name):
+def reported_unreachable(context, name):
     def play():
         fleet = context.fleet.instances["a-2"].fleet
-        context.taken = []
-        fleet.on_link_lost = context.taken.append
-        for judge in ("a-1", "a-2"):
-            fleet.partitions.record_report(judge, (name,))
+        context.lost_links = []
+        fleet.on_link_lost = context.lost_links.append
+        for reporter in ("a-1", "a-2"):
+            fleet.partitions.record_report(reporter, (name,))
         fleet.apply_partitions()
-        context.homes = [fleet.coordinator(topic) for topic in sorted(fleet.coordinators.topics)]
+        context.coordinators = [
+            fleet.coordinator(topic) for topic in sorted(fleet.coordinators.topics)
+        ]
 
     context.run(play)
 
 
 @then("a-2 treats its links to data centre {name} as lost")
-def taken_lost(context, name):
+def links_lost(context, name):
     links = context.fleet.instances["a-2"].fleet.links
-    assert sorted(context.taken) == sorted(one for one in links if one.startswith(name))
+    assert sorted(context.lost_links) == sorted(one for one in links if one.startswith(name))
 
 
 @then("no coordinator that a-2 uses is in data centre {name}")
-def none_there(context, name):
-    assert context.homes
-    assert all(one is None or one.peer.datacentre != name for one in context.homes)
+def no_coordinator_in(context, name):
+    assert context.coordinators
+    assert all(one is None or one.peer.datacentre != name for one in context.coordinators)
 
 
 @then("request r is refused with {code:d} after at most {ms:d} ms, with a time to retry")
@@ -332,25 +337,27 @@
     assert not context.fleet.upstream.arrivals.get("r")
 
 
-def named(text):
+def parse_datacentres(text):
     """Return the data centres that a step names."""
     return frozenset() if text == "nothing" else frozenset(text.split(" and "))
 
 
 @given("a-1 reports {first} unreachable and a-2 reports {second} unreachable")
-def words(context, first, second):
-    context.told_clock = VirtualClock()
+def reports(context, first, second):
+    context.receiver_clock = VirtualClock()
     me = Instance("a-3", "x", "a", "", "a-3", cores=1.0, since=0)
-    context.partitions = PartitionDetector(Membership(me, context.told_clock))
-    context.partitions.record_report("a-1", named(first))
-    context.partitions.record_report("a-2", named(second))
+    context.partitions = PartitionDetector(Membership(me, context.receiver_clock))
+    context.partitions.record_report("a-1", parse_datacentres(first))
+    context.partitions.record_report("a-2", parse_datacentres(second))
 
 
 @when("{ms:d} ms go by at the receiver")
-def later(context, ms):
-    context.told_clock.run(gevent.spawn(context.told_clock.sleep, float(ms)))
+def pass_at_receiver(context, ms):
+    context.receiver_clock.run(gevent.spawn(context.receiver_clock.sleep, float(ms)))
 
 
-@then("{cut} is considered unreachable")
-def taken_cut(context, cut):
-    assert context.partitions.unreachable() == named(cut), context.partitions.unreachable()
+@then("{unreachable} is considered unreachable")
+def is_unreachable(context, unreachable):
+    assert context.partitions.unreachable() == parse_datacentres(
+        unreachable
+    ), context.partitions.unreachable()
--- a/features/steps/forward_steps.py
+++ b/features/steps/forward_steps.py
@@ -83,12 +83,12 @@
 def fault_at_first(context, fault, kind):
     """Send a request; the server that gets its first attempt has the fault, whichever it is."""
     upstream = context.fleet.upstream
-    plain = upstream.open
+    original = upstream.open
 
     def open_(server, call, limit_ms):
         first = not upstream.arrivals[call.request.id]
         upstream.faults = {server.name: ServerFault(fault)} if first else {}
-        return plain(server, call, limit_ms)
+        return original(server, call, limit_ms)
 
     upstream.open = open_
     context.run(serve, context, "a-1", request("r", PATHS[kind], context.clock.now()))
@@ -190,8 +190,8 @@
 def within_budget(context, ratio, requests, reserve):
     arrivals = context.fleet.upstream.arrivals
     assert len(context.ends) == requests
-    beyond = sum(len(servers) - 1 for servers in arrivals.values())
-    assert 0 < beyond <= ratio * requests + reserve, beyond
+    repeats = sum(len(servers) - 1 for servers in arrivals.values())
+    assert 0 < repeats <= ratio * requests + reserve, repeats
 
 
 @then("it went by route {name}")
@@ -236,7 +236,7 @@
 
 
 @given("the retry budget is spent")
-def spent(context):
+def budget_spent(context):
     instance = context.fleet.instances["a-1"]
     instance.settings = replace(instance.settings, retry_ratio=0.0, retry_reserve=0.0)
     instance.budgets.renew()
@@ -246,22 +246,22 @@
 def byte_by_byte(context, number):
     context.splitter = EventSplitter()
     data = events(1, number) + b"id: 6\ndata: cu"
-    context.passed = [context.splitter.feed(data[n : n + 1]) for n in range(len(data))]
+    context.forwarded = [context.splitter.feed(data[n : n + 1]) for n in range(len(data))]
 
 
 @then("only whole events are forwarded and the last id is {last:d}")
 def only_whole(context, last):
-    passed = [one for one in context.passed if one]
-    assert passed == [events(n, n) for n in range(1, last + 1)], passed
+    forwarded = [one for one in context.forwarded if one]
+    assert forwarded == [events(n, n) for n in range(1, last + 1)], forwarded
     assert context.splitter.last_id == str(last)
     assert context.splitter.incomplete == b"id: 6\ndata: cu"
 
 
-@then("of the {accepts:d} connections that {server} accepts they keep {least:d} to {most:d}")
-def connections_kept(context, accepts, server, least, most):
-    kept = 0
+@then("of the {accepts:d} connections that {server} accepts they keep {minimum:d} to {maximum:d}")
+def connections_open(context, accepts, server, minimum, maximum):
+    open_connections = 0
     for instance in context.fleet.instances.values():
         listed = instance.directory.find(server)
         assert instance.follower.service("desk").max_connections == accepts
-        kept += instance.connections.of(listed)
-    assert least <= kept <= most, kept
+        open_connections += instance.connections.of(listed)
+    assert minimum <= open_connections <= maximum, open_connections
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -73,40 +73,42 @@
     "a server whose memory for 7 results is to be {use} by a call with {new:d} pieces beside "
     "{old:d} stored results"
 )
-def room(context, use, new, old):
+def server_memory(context, use, new, old):
     context.clock = VirtualClock()
     state = router(context.clock).state(server("enc-1", "a"))
-    context.room = ResultMemory()
+    context.memory = ResultMemory()
     for _ in range(old):
-        context.room.reserve("enc-1", RESULT_BYTES)
-    home = SimpleNamespace(result_memory=context.room, queue=PieceQueue(), clock=context.clock)
-    home.hedged = set()
+        context.memory.reserve("enc-1", RESULT_BYTES)
+    batcher_state = SimpleNamespace(
+        result_memory=context.memory, queue=PieceQueue(), clock=context.clock
+    )
+    batcher_state.hedged = set()
     context.progress = JobProgress(job(new), lambda results: None, 0.0)
     batch = [(context.progress, number) for number in range(new)]
-    context.batch = BatchRun(home, state, batch, LIMITS, 0.0)
+    context.batch = BatchRun(batcher_state, state, batch, LIMITS, 0.0)
     for _ in range(new):
-        context.room.reserve("enc-1", RESULT_BYTES)
+        context.memory.reserve("enc-1", RESULT_BYTES)
 
 
 @when("it refuses the last piece for lack of memory")
-def no_room(context):
-    context.lying = context.room.used_bytes("enc-1", 0.0) - RESULT_BYTES
+def refuses_last_piece(context):
+    context.used_before = context.memory.used_bytes("enc-1", 0.0) - RESULT_BYTES
     result = PieceResult("", PieceFailure.NO_ROOM)
     context.batch.handle_result((context.progress, context.progress.job.pieces - 1), result, 0.0)
 
 
 @then("its memory is not recorded as full")
-def not_full(context):
-    assert context.room.used_bytes("enc-1", 0.0) == context.lying
+def not_recorded_full(context):
+    assert context.memory.used_bytes("enc-1", 0.0) == context.used_before
 
 
 @then("its memory is recorded as full of results of other instances")
-def full(context):
-    assert context.room.used_bytes("enc-1", 0.0) >= LIMITS.result_memory_bytes - RESULT_BYTES
+def recorded_full(context):
+    assert context.memory.used_bytes("enc-1", 0.0) >= LIMITS.result_memory_bytes - RESULT_BYTES
 
 
 @given("a stage of {pieces:d} pieces, none of them begun, to be given up after {ms:d} ms")
-def unbegun(context, pieces, ms):
+def unbegun_stage(context, pieces, ms):
     context.settled = []
     context.now = 0.0
     context.progress = JobProgress(job(pieces, float(ms)), context.settled.append, 0.0)
@@ -115,13 +117,13 @@
 
 
 @given("one of its pieces is dispatched")
-def taken(context):
+def piece_dispatched(context):
     context.progress.begun = True
     context.queue.take(context.queue.waiting[:1])
 
 
 @when("{ms:d} ms pass in the queue")
-def go_by(context, ms):
+def pass_in_queue(context, ms):
     context.now += ms
     context.queue.drop_expired(context.now)
 
@@ -160,7 +162,7 @@
 
 
 @given("no other stage of it has begun")
-def nothing_else(context):
+def no_other_stage(context):
     pass
 
 
@@ -198,16 +200,16 @@
 
 
 @given("a stage that was assigned to one instance and reassigned to a second")
-def moved(context):
+def reassigned(context):
     clock = VirtualClock()
-    joined = SimpleNamespace(is_divided=lambda service: False)
-    here = SimpleNamespace(me=SimpleNamespace(datacentre="a"))
+    division = SimpleNamespace(is_divided=lambda service: False)
+    membership = SimpleNamespace(me=SimpleNamespace(datacentre="a"))
     fleet = SimpleNamespace(
         coordinator=lambda service: None,
         links={},
         peer_gone=[],
-        division=joined,
-        membership=here,
+        division=division,
+        membership=membership,
         subscribe=lambda kind, take: None,
     )
     batcher = SimpleNamespace(submit=lambda job, done: SimpleNamespace(job=job))
@@ -220,17 +222,17 @@
 
 
 @when("the second instance gives it up as not begun")
-def next_gives_up(context):
+def second_gives_up(context):
     context.dispatch.settle(context.number, (PieceResult("", PieceFailure.NOT_BEGUN),))
 
 
 @then("the stage fails as late")
-def told_late(context):
+def fails_late(context):
     assert [one.failure for one in context.settled[0]] == [PieceFailure.LATE]
 
 
-@given("routes with priorities 0, 1 and 2 and teams with priorities {levels}")
-def priorities(context, levels):
+@given("routes with priorities 0, 1 and 2 and teams with priorities {team_priorities}")
+def priorities(context, team_priorities):
     document = {
         "version": 1,
         "routes": [
@@ -241,14 +243,14 @@
         "services": [{"name": "s"}],
         "tenants": [
             {"name": f"t{n}", "api_keys": [f"k{level}"], "priority": int(level)}
-            for n, level in enumerate(levels.split(", "))
+            for n, level in enumerate(team_priorities.split(", "))
         ],
     }
     context.catalogue = decode_catalogue(json.dumps(document).encode())
 
 
 @when("a request of a team with priority {team} is sent on the route with priority {route:d}")
-def of_team(context, team, route):
+def request_rank(context, team, route):
     caller = context.catalogue.keys.get(f"k{team}")
     found = context.catalogue.match("x", f"/{route}/1")
     context.rank = context.catalogue.urgency(caller, found)
@@ -279,8 +281,10 @@
     assert [progress.job.urgency for progress, _ in context.batch] == [0] * 5
 
 
-@given("requests with a latency target of {aim:d} ms and usually {allowed:d} ms to their deadline")
-def first_tries(context, aim, allowed):
+@given(
+    "requests with a latency target of {target:d} ms and usually {allowed:d} ms to their deadline"
+)
+def usual_requests(context, target, allowed):
     context.forecast = StageForecast(None, None)
     context.route = next(one for one in ROUTES if one.name == "staged")
     sent = request("r", PATHS["staged"], 0.0, allowed_ms=float(allowed))
@@ -288,19 +292,19 @@
 
 
 @when("one of them arrives with {left:d} ms remaining")
-def comes_back(context, left):
+def arrives_with(context, left):
     sent = request("r", PATHS["staged"], 0.0, allowed_ms=float(left))
     context.age_ms = context.forecast.age_ms(sent, context.route)
 
 
 @then("its age is estimated as {age:d} ms")
-def is_old(context, age):
+def has_age(context, age):
     assert context.age_ms == age
 
 
 @then("one that arrives with {left:d} ms remaining counts as a first attempt")
-def counts_first(context, left):
-    comes_back(context, left)
+def counts_as_first(context, left):
+    arrives_with(context, left)
     assert context.age_ms == 0.0
 
 
@@ -324,50 +328,50 @@
 
 
 @given("{number:d} instances that started at the same time")
-def together(context, number):
+def started_together(context, number):
     context.instances = [member(n, 1_000) for n in range(number)]
 
 
 @when("the coordinator of each topic is killed and restarts")
-def starts_again(context):
+def coordinator_restarts(context):
     context.before = {topic: ranking(context.instances).ranked(topic)[0] for topic in TOPICS}
-    context.again = {}
+    context.after_restart = {}
     for topic, first in context.before.items():
         rest = [one for one in context.instances if one is not first]
         number = int(first.name.partition("-")[2])
         meanwhile = ranking(rest).ranked(topic)[0]
         after = ranking([*rest, member(number, 9_000)]).ranked(topic)[0]
-        context.again[topic] = (meanwhile, after)
+        context.after_restart[topic] = (meanwhile, after)
 
 
 @then("another instance becomes the coordinator and remains it")
-def stays(context):
-    for topic, (meanwhile, after) in context.again.items():
+def coordinator_moves_once(context):
+    for topic, (meanwhile, after) in context.after_restart.items():
         assert meanwhile.name == after.name != context.before[topic].name, topic
 
 
 @given("an instance with four times the cores that started last")
-def large(context):
+def large_instance(context):
     context.instances.append(member(99, 9_000, cores=4.0))
 
 
 @then("that instance is the coordinator of every topic")
-def at_large(context):
+def coordinates_all(context):
     ranked = ranking(context.instances)
     assert {ranked.ranked(topic)[0].name for topic in TOPICS} == {"edge-99"}
 
 
-def desk(context, speed, mbps):
+def make_coordinator(context, speed, mbps):
     clock = VirtualClock()
     transfer = PromptTransfer(TOKEN_BYTES, mbps) if mbps else None
     catalogue = SimpleNamespace(services={"planner": Service("planner", 100, transfer=transfer)})
     servers = (server("llm-1", "a"), server("llm-2", "b"))
     directory = SimpleNamespace(available=lambda service: servers)
     follower = SimpleNamespace(service=catalogue.services.get)
-    context.desk = PlacementCoordinator(
+    context.coordinator = PlacementCoordinator(
         directory, router(clock), clock, follower, AllWarm(), NoLimits()
     )
-    context.desk.placement.speed.tokens_per_ms = speed
+    context.coordinator.placement.speed.tokens_per_ms = speed
 
 
 @given(
@@ -375,21 +379,21 @@
     "{mbps:d} Mbit/s"
 )
 def engine(context, speed, mbps):
-    desk(context, speed, mbps)
+    make_coordinator(context, speed, mbps)
 
 
 @given("a shared part of {tokens:d} tokens that a server of another data centre has cached")
-def kept_elsewhere(context, tokens):
+def cached_elsewhere(context, tokens):
     context.shared = PromptPart("shared", tokens)
     prompt = Prompt(tokens + 10, 10, (context.shared, PromptPart("other", 10)))
-    context.desk.placement.record_start("llm-2", prompt, 0)
-    context.desk.placement.record_end("llm-2")
+    context.coordinator.placement.record_start("llm-2", prompt, 0)
+    context.coordinator.placement.record_end("llm-2")
 
 
-def place(context, own, site):
+def place_prompt(context, own, input_datacentre):
     prompt = Prompt(context.shared.tokens + own, 30, (context.shared, PromptPart("own", own)))
-    order = PlacementOrder(1, "planner", prompt, (), site)
-    context.reply = context.desk.place(order, "me")
+    order = PlacementOrder(1, "planner", prompt, (), input_datacentre)
+    context.reply = context.coordinator.place(order, "me")
 
 
 @when(
@@ -397,13 +401,13 @@
 )
 def placed(context, own):
     context.own = own
-    place(context, own, "a")
+    place_prompt(context, own, "a")
 
 
 @when("a prompt with {own:d} tokens of its own and an unknown part of {tokens:d} is placed")
 def placed_unknown(context, own, tokens):
     context.shared = PromptPart("unknown", tokens)
-    place(context, own, "")
+    place_prompt(context, own, "")
 
 
 @then("it goes to the first data centre and fetches {tokens:d} tokens")
@@ -414,42 +418,42 @@
 
 
 @then("it goes to the first data centre and prefills all of its tokens")
-def reads_all(context):
+def prefills_all(context):
     whole = context.own + context.shared.tokens
     assert (context.reply.server, context.reply.source) == ("llm-1", ""), context.reply
     assert context.reply.read == whole
 
 
 @then("it goes to the second data centre and prefills its own tokens")
-def reads_own(context):
+def prefills_own(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
     assert context.reply.read == context.own
 
 
 @then("it is expected to prefill {tokens:d} tokens")
-def expected_to_read(context, tokens):
+def expected_to_prefill(context, tokens):
     assert context.reply.read == tokens
 
 
 @given("engines with a true speed of {speed:g} prefilled tokens a millisecond")
-def real_speed(context, speed):
-    context.real = speed
-    desk(context, 40.0, 0)
+def engines_with_speed(context, speed):
+    context.true_speed = speed
+    make_coordinator(context, 40.0, 0)
 
 
 @when("{number:d} prompts were prefilled")
-def were_read(context, number):
+def were_prefilled(context, number):
     for n in range(number):
         parts = (PromptPart(f"part {n}", 2_000), PromptPart(f"own {n}", 1_000))
         order = PlacementOrder(n, "planner", Prompt(3_000, 10, parts), (), "")
-        context.desk.place(order, "me")
-        context.desk.apply_note(PlacementNote(n, 3_000 / context.real, True), "me")
+        context.coordinator.place(order, "me")
+        context.coordinator.apply_note(PlacementNote(n, 3_000 / context.true_speed, True), "me")
 
 
-@then("the speed is estimated within {part:d} percent")
-def known_speed(context, part):
-    known = context.desk.placement.speed.tokens_per_ms
-    assert abs(known - context.real) <= context.real * part / 100, known
+@then("the speed is estimated within {percent:d} percent")
+def estimated_speed(context, percent):
+    estimate = context.coordinator.placement.speed.tokens_per_ms
+    assert abs(estimate - context.true_speed) <= context.true_speed * percent / 100, estimate
 
 
 @given("results of {size:g} MB over links of {mbps:d} Mbit/s")
@@ -459,17 +463,17 @@
 
 
 @then("they are stored for about {ms:d} ms after the request was sent")
-def kept_for(context, ms):
+def stored_for(context, ms):
     assert abs(context.fetch.wait_ms(context.size, context.mbps) - ms) < 1.0
 
 
 @when("a server found them already released")
-def found_gone(context):
+def found_released(context):
     context.fetch.record_early_release()
 
 
 @when("{number:d} servers fetched them in time")
-def had_all(context, number):
+def fetched_in_time(context, number):
     for _ in range(number):
         context.fetch.record_fetched()
 
@@ -478,12 +482,12 @@
 def unreachable(context, name, ms):
     upstream = context.fleet.upstream
     upstream.faults[name] = ServerFault.UNREACHABLE
-    plain = upstream.open
+    original = upstream.open
 
     def open_(server, call, limit_ms):
         if server.name == name:
             context.clock.sleep(float(ms))
-        return plain(server, call, limit_ms)
+        return original(server, call, limit_ms)
 
     upstream.open = open_
 
@@ -501,11 +505,11 @@
 @given("the next result of a first stage is lost")
 def result_lost(context):
     upstream = context.fleet.upstream
-    plain = upstream.run_pieces
+    original = upstream.run_pieces
     lost = []
 
-    def run_pieces(server, pieces, limit_ms, heard):
-        made = plain(server, pieces, limit_ms, heard)
+    def run_pieces(server, pieces, limit_ms, on_notices):
+        made = original(server, pieces, limit_ms, on_notices)
         if pieces[0].stage == 1 and not lost:
             lost.append(pieces[0])
             return tuple(PieceResult("", PieceFailure.INPUT_GONE) for _ in pieces)
@@ -525,7 +529,7 @@
     "a stage service that completes {rate:g} pieces a millisecond, all of them demanded by "
     "rank 0"
 )
-def all_asked(context, rate):
+def all_demanded(context, rate):
     clock = VirtualClock()
     context.rate = rate
     context.demand = StageDemand(clock)
--- a/features/steps/large_steps.py
+++ b/features/steps/large_steps.py
@@ -41,13 +41,13 @@
 SPREAD = 0.6
 TOKENS_PER_MS = 61.2
 SETTLE_MS = 700.0
-SERVED = 200
+OK_STATUS = 200
 
 
-@given("a route with a latency target of {aim:d} ms and a deadline of {deadline:d} ms")
-def kind(context, aim, deadline):
-    plain = route("deck", "/deck/", RouteKind.STREAM, "llm", prompts=True, stages=STAGES)
-    context.route = replace(plain, target_ms=float(aim), timeout_ms=float(deadline))
+@given("a route with a latency target of {target:d} ms and a deadline of {deadline:d} ms")
+def route_with_target(context, target, deadline):
+    base_route = route("deck", "/deck/", RouteKind.STREAM, "llm", prompts=True, stages=STAGES)
+    context.route = replace(base_route, target_ms=float(target), timeout_ms=float(deadline))
     context.deadline_ms = float(deadline)
     services = {
         "llm": Service("llm", 100, 64, 10_000_000),
@@ -60,23 +60,23 @@
 @given("prompts of {mean:d} tokens on average, the largest tenth of them over {large:d}")
 def prompts(context, mean, large):
     rng = random.Random(0)
-    sizes = sorted(drawn(rng, mean) for _ in range(10_000))
+    sizes = sorted(draw_tokens(rng, mean) for _ in range(10_000))
     assert sizes[9_000] > large, sizes[9_000]
     context.mean = mean
 
 
-def drawn(rng, mean):
+def draw_tokens(rng, mean):
     return int(rng.lognormvariate(math.log(mean) - SPREAD**2 / 2, SPREAD))
 
 
-def deck(context, id_, tokens, arrived, allowed_ms):
+def deck_request(context, id_, tokens, arrived, allowed_ms):
     prompt = Prompt(tokens, 120, (PromptPart(f"own {id_}", tokens),))
     sent = request(id_, PATH, arrived, allowed_ms=allowed_ms)
     return replace(sent, prompt=prompt, pieces=PIECES)
 
 
 @given("{number:d} stage servers that complete {rate:d} of its requests a second")
-def overloaded(context, number, rate):
+def stage_servers(context, number, rate):
     full_s = BATCH.expected_ms(BATCH.pieces) / 1_000.0
     assert rate == round(number * BATCH.pieces / full_s / sum(PIECES))
     context.fleet.catalogues[1] = context.catalogue
@@ -95,12 +95,12 @@
     "{asked:d} requests a second arrive for {seconds:d} seconds, drawn with seed {seed:d}, "
     "and are retried once when refused"
 )
-def come(context, asked, seconds, seed):
+def requests_arrive(context, asked, seconds, seed):
     rng = random.Random(seed)
     context.served = []
     context.on_time = 0
     context.stack.callback(setattr, StreamRun, "log", StreamRun.log)
-    StreamRun.log = watching(context, StreamRun.log)
+    StreamRun.log = counting_on_time(context, StreamRun.log)
 
     def call(number, tokens):
         began = context.clock.now()
@@ -108,81 +108,87 @@
             now = context.clock.now()
             left_ms = context.deadline_ms - (now - began)
             instance = rng.choice(("a-1", "b-1", "c-1"))
-            serve(context, instance, deck(context, name, tokens, now, left_ms))
+            serve(context, instance, deck_request(context, name, tokens, now, left_ms))
             status, _, code, _, error = context.ends[name]
             if not isinstance(error, RefusalError) or error.retry_after_ms is None:
                 break
             context.clock.sleep(error.retry_after_ms)
-        context.served.append((tokens, status == SERVED and code == 0))
+        context.served.append((tokens, status == OK_STATUS and code == 0))
 
     def play():
         callers = []
         for number in range(asked * seconds):
             context.clock.sleep(rng.expovariate(asked / 1_000.0))
-            callers.append(gevent.spawn(call, number, drawn(rng, context.mean)))
+            callers.append(gevent.spawn(call, number, draw_tokens(rng, context.mean)))
         gevent.joinall(callers)
 
     context.run(play)
     context.served.sort(reverse=True)
 
 
-def watching(context, plain):
+def counting_on_time(context, original):
     """Return a log method that also counts requests on time, measured from their first attempt."""
 
     def log(run, event, **fields):
-        plain(run, event, **fields)
+        original(run, event, **fields)
         if event == "first-event":
             context.on_time += run.age_ms + run.elapsed_ms() <= run.route.target_ms
 
     return log
 
 
-def part(served):
+def served_fraction(served):
     return sum(one for _, one in served) / len(served)
 
 
-def sizes_served(context, first, last):
+def served_in_range(context, first, last):
     number = len(context.served)
-    return part(context.served[int(first * number) : int(last * number)])
+    return served_fraction(context.served[int(first * number) : int(last * number)])
 
 
 @then("of the largest tenth at least {ratio:g} times as many are served as of all")
 def largest(context, ratio):
-    found = sizes_served(context, 0.0, 0.1)
-    assert found >= ratio * part(context.served), (found, part(context.served))
+    found = served_in_range(context, 0.0, 0.1)
+    assert found >= ratio * served_fraction(context.served), (
+        found,
+        served_fraction(context.served),
+    )
 
 
 @then("of the fifth below it at least {ratio:g} times as many are served as of all")
 def fifth(context, ratio):
-    found = sizes_served(context, 0.1, 0.3)
-    assert found >= ratio * part(context.served), (found, part(context.served))
+    found = served_in_range(context, 0.1, 0.3)
+    assert found >= ratio * served_fraction(context.served), (
+        found,
+        served_fraction(context.served),
+    )
 
 
-@then("at least {least:g} of all are served")
-def all_served(context, least):
-    assert part(context.served) >= least, part(context.served)
+@then("at least {minimum:g} of all are served")
+def all_served(context, minimum):
+    assert served_fraction(context.served) >= minimum, served_fraction(context.served)
 
 
-@then("at least {least:g} of all are served on time")
-def all_on_time(context, least):
+@then("at least {minimum:g} of all are served on time")
+def all_on_time(context, minimum):
     found = context.on_time / len(context.served)
-    assert found >= least, found
+    assert found >= minimum, found
 
 
 def send_one(context, tokens):
     """Send a request to an instance and record the jobs that it submits, with their times."""
     dispatch = context.fleet.instances["a-1"].dispatch
-    plain = dispatch.submit
+    original = dispatch.submit
     context.jobs = []
 
     def submit(job, done):
         context.jobs.append((context.clock.now(), job))
-        return plain(job, done)
+        return original(job, done)
 
     dispatch.submit = submit
-    sent = deck(context, "one", tokens, context.clock.now(), context.deadline_ms)
+    sent = deck_request(context, "one", tokens, context.clock.now(), context.deadline_ms)
     context.run(serve, context, "a-1", sent)
-    assert context.ends["one"][0] == SERVED, context.ends
+    assert context.ends["one"][0] == OK_STATUS, context.ends
 
 
 @when("a request of {tokens:d} tokens is sent to an instance")
@@ -196,13 +202,13 @@
     assert not any(job.gives_way(now) for now, job in context.jobs), context.jobs
 
 
-@when("a request of {tokens:d} tokens that {standing} is sent to an instance")
-def standing_sent(context, tokens, standing):
+@when("a request of {tokens:d} tokens that {condition} is sent to an instance")
+def condition_sent(context, tokens, condition):
     forecast = context.fleet.instances["a-1"].forwarder.context.forecast
-    plain = forecast.predict
+    original = forecast.predict
 
     def predict(*args):
-        return replace(plain(*args), gives_way=standing == "gives way")
+        return replace(original(*args), gives_way=condition == "gives way")
 
     forecast.predict = predict
     send_one(context, tokens)
@@ -210,17 +216,17 @@
 
 
 @then("the factor of its route has changed")
-def moved(context):
+def factor_changed(context):
     assert context.route.name in context.factors
 
 
 @then("the factor of its route has not changed")
-def not_moved(context):
+def factor_not_changed(context):
     assert context.route.name not in context.factors
 
 
 @given("a stage service that completes {rate:g} pieces a millisecond")
-def makes(context, rate):
+def stage_service(context, rate):
     context.clock = VirtualClock()
     context.rate = rate
     context.demand = StageDemand(context.clock)
@@ -231,7 +237,7 @@
 def both_wait(context, first, second):
     for job in (stage(context, 1, first, 900.0), stage(context, 0, second, -1.0)):
         context.queue.add(JobProgress(job, lambda results: None, context.clock.now()))
-    context.waits = expected(context)
+    context.waits = expected_waits(context)
 
 
 @when(
@@ -241,7 +247,7 @@
 def both_announced(context, first, second):
     context.demand.announce(StageNotice("on time", 1, "enc", first, 1))
     context.demand.announce(StageNotice("late", 1, "enc", second, 0, gives_way=True))
-    context.waits = expected(context)
+    context.waits = expected_waits(context)
 
 
 def stage(context, urgency, pieces, due_in_ms):
@@ -250,25 +256,25 @@
 
 
 @when("{pieces:d} pieces of rank 0 that give way have arrived within 1500 ms")
-def came_late(context, pieces):
+def late_arrivals(context, pieces):
     for _ in range(pieces):
         context.demand.record_arrival(stage(context, 0, 1, -1.0))
 
 
 @when("{pieces:d} pieces of rank 1 wait")
-def rank_one_comes(context, pieces):
+def rank_one_waits(context, pieces):
     job = stage(context, 1, pieces, 900.0)
     context.queue.add(JobProgress(job, lambda results: None, context.clock.now()))
-    context.waits = expected(context)
+    context.waits = expected_waits(context)
 
 
-def expected(context):
+def expected_waits(context):
     waiting = context.queue.count_by_priority(context.clock.now())
     return context.demand.waits_ms(waiting, context.rate, 0.0)
 
 
 @then("those that give way are expected to wait {ms:d} ms")
-def behind_waits(context, ms):
+def giving_way_waits(context, ms):
     assert round(context.waits[FIRST_CLASS_GIVING_WAY]) == ms, context.waits
 
 
@@ -290,14 +296,16 @@
     context.forecast.factors[context.route.name] = factor
     rng = random.Random(1)
     for number in range(40):
-        sent = deck(context, f"before {number}", drawn(rng, context.mean), 0.0, 10_000.0)
+        sent = deck_request(
+            context, f"before {number}", draw_tokens(rng, context.mean), 0.0, 10_000.0
+        )
         context.forecast.predict(sent, context.route, 0, 0.0)
 
 
 @when("a request of {tokens:d} tokens arrives while its stages wait {wait:d} ms")
-def one_comes(context, tokens, wait):
+def request_arrives(context, tokens, wait):
     context.dispatch.ms = float(wait)
-    sent = deck(context, "r", tokens, 0.0, context.deadline_ms)
+    sent = deck_request(context, "r", tokens, 0.0, context.deadline_ms)
     context.expectation = context.forecast.predict(sent, context.route, 0, 0.0)
     context.refusal = None
     try:
@@ -307,13 +315,13 @@
 
 
 @then("it is admitted")
-def let_in(context):
+def admitted(context):
     assert context.refusal is None, context.refusal.detail
     assert not context.expectation.gives_way
 
 
 @then("it is admitted behind the others")
-def let_in_behind(context):
+def admitted_behind(context):
     assert context.refusal is None, context.refusal.detail
     assert context.expectation.gives_way
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -18,12 +18,12 @@
 
 
 @given(
-    "an instance with {places:d} slots and teams big of share {big:d} and small of share "
+    "an instance with {slots:d} slots and teams big of share {big:d} and small of share "
     "{small:d}"
 )
-def places(context, places, big, small):
+def slots_and_teams(context, slots, big, small):
     context.clock = VirtualClock()
-    context.admission = Admission(context.clock, places, 8 * places)
+    context.admission = Admission(context.clock, slots, 8 * slots)
     context.teams = {
         name: Team(name, {}, "", float(share), 0, "")
         for name, share in (("big", big), ("small", small))
@@ -45,20 +45,20 @@
     context.admission.leave(team)
 
 
-def come(context, big, small, run_ms):
+def spawn_requests(context, big, small, run_ms):
     names = ["big"] * big + ["small"] * small
     return [gevent.spawn(enter, context, name, run_ms) for name in names]
 
 
 @when("{big:d} requests of big and {small:d} of small come at once and each runs {ms:d} ms")
 def at_once(context, big, small, ms):
-    tasks = come(context, big, small, float(ms))
+    tasks = spawn_requests(context, big, small, float(ms))
     context.clock.run(gevent.spawn(gevent.joinall, tasks))
 
 
 @when("{big:d} requests of big and {small:d} of small come at once and the instance is shut down")
-def shut(context, big, small):
-    tasks = come(context, big, small, 100.0)
+def shut_down(context, big, small):
+    tasks = spawn_requests(context, big, small, 100.0)
 
     def work():
         context.clock.sleep(10.0)
@@ -74,7 +74,7 @@
 
 
 @then("every request of small ran and some of big were refused with {alone:d} and {code:d} at once")
-def shed(context, alone, code):
+def heaviest_refused(context, alone, code):
     assert context.ran.count("small") == 2, context.ran
     assert {row[:2] for row in context.refused} == {("big", alone), ("big", code)}
     assert all(took == 0 for *_, took in context.refused), context.refused
@@ -106,7 +106,7 @@
 
 
 @when("{ms:d} ms pass on the wall clock")
-def long_time(context, ms):
+def pass_wall_time(context, ms):
     """Advance the wall clock by a long time without simulating each heartbeat in it."""
     idempotency = next(iter(context.fleet.runtimes.values())).idempotency
     wall = context.clock.wall
--- a/features/steps/piece_steps.py
+++ b/features/steps/piece_steps.py
@@ -18,7 +18,7 @@
 NAMES = ("a-1", "a-2", "b-1")
 
 
-def staged(context, number, within_ms=0.0):
+def send_staged(context, number, within_ms=0.0):
     def send(n):
         context.clock.sleep(n * within_ms / number)
         sent = request(f"s{n}", PATHS["staged"], context.clock.now())
@@ -33,24 +33,24 @@
 def at_once(context, number):
     context.inputs = {}
     upstream = context.fleet.upstream
-    plain = upstream.open
+    original = upstream.open
 
     def open_(server, call, limit_ms):
         context.inputs[call.request.id] = call.inputs
-        return plain(server, call, limit_ms)
+        return original(server, call, limit_ms)
 
     upstream.open = open_
-    staged(context, number)
+    send_staged(context, number)
 
 
 @when("{number:d} staged requests come within {ms:d} ms over all instances")
 def within(context, number, ms):
-    staged(context, number, float(ms))
+    send_staged(context, number, float(ms))
 
 
 @when("a staged request is sent to another instance")
 def to_another(context):
-    name = next(one for one in NAMES if one != context.home)
+    name = next(one for one in NAMES if one != context.coordinator)
     context.began = context.clock.now()
     context.run(serve, context, name, request("s0", PATHS["staged"], context.clock.now()))
     context.took_ms = context.clock.now() - context.began
@@ -62,11 +62,11 @@
 
 
 @given("the coordinator of service {service} is cut off from its peers")
-def home_cut(context, service):
-    context.home = meeting(context, service).settings.name
+def coordinator_cut_off(context, service):
+    context.coordinator = meeting(context, service).settings.name
     for other in NAMES:
-        if other != context.home:
-            context.fleet.network.cut_instances.add(frozenset({other, context.home}))
+        if other != context.coordinator:
+            context.fleet.network.cut_instances.add(frozenset({other, context.coordinator}))
 
 
 @then("every staged request ends with status {status:d}")
@@ -84,7 +84,7 @@
 
 
 @then("no piece ran twice")
-def once(context):
+def ran_once(context):
     made = Counter(
         (piece.request, piece.stage, piece.fragment)
         for call in context.fleet.upstream.calls
@@ -111,7 +111,7 @@
 
 
 @then("every result was released")
-def given_up(context):
+def all_released(context):
     made = sum(len(call.pieces) for call in context.fleet.upstream.calls)
     assert len(context.fleet.upstream.freed) == len(set(context.fleet.upstream.freed)) == made
 
@@ -126,7 +126,7 @@
 
 
 @then("no piece of a refused request ran")
-def not_made(context):
+def refused_not_run(context):
     made = {piece.request for call in context.fleet.upstream.calls for piece in call.pieces}
     assert not made & set(context.refused)
 
@@ -137,14 +137,14 @@
 
 
 @then("every result was released once")
-def given_up_once(context):
+def all_released_once(context):
     made = sum(len(call.pieces) for call in context.fleet.upstream.calls)
     freed = context.fleet.upstream.freed
     assert len(freed) == len(set(freed)) == made, (len(freed), made)
 
 
 @then("no batcher holds a piece or a result")
-def forgotten(context):
+def nothing_held(context):
     for instance in context.fleet.instances.values():
         for batcher in instance.dispatch.batchers.values():
             assert not batcher.queue and not batcher.hedged and not batcher.result_memory.results
@@ -179,7 +179,7 @@
 
 
 @then("the third stage gets the {number:d} results of the second")
-def given_second(context, number):
+def gets_second(context, number):
     inputs = {job.stage: job.inputs for job in context.dispatch.jobs}
     assert inputs == {0: (), 1: (), 2: tuple(f"1/{n}" for n in range(number))}, inputs
     assert context.handles == ("0/0", "0/1", "2/0"), context.handles
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -19,30 +19,38 @@
 
 @when('the workload "{name}" runs with seed {seed:d} under both policies')
 def both(context, name, seed):
-    context.ours = run(name, ExpectedCompletion(), seed)
-    context.other = run(name, LeastOutstanding(), seed)
+    context.expected_completion = run(name, ExpectedCompletion(), seed)
+    context.least_outstanding = run(name, LeastOutstanding(), seed)
 
 
-@then("expected completion attains at least {least:f} of the requests")
-def reaches(context, least):
-    assert context.ours.attainment >= least, context.ours
+@then("expected completion attains at least {minimum:f} of the requests")
+def attains(context, minimum):
+    assert context.expected_completion.attainment >= minimum, context.expected_completion
 
 
-@then("at least {least:f} of those of teams that do not flood, and no less than least outstanding")
-def others(context, least):
-    assert context.ours.others >= max(least, context.other.others), (context.ours, context.other)
+@then(
+    "at least {minimum:f} of those of teams that do not flood, and no less than least outstanding"
+)
+def others_attain(context, minimum):
+    assert context.expected_completion.others >= max(minimum, context.least_outstanding.others), (
+        context.expected_completion,
+        context.least_outstanding,
+    )
 
 
 @when('the workload "{name}" runs with seed {seed:d} with and without thrift')
 def thrift(context, name, seed):
-    context.plain = run(name, ExpectedCompletion(), seed)
-    context.thrifty = run(name, ExpectedCompletion(thrift=0.8), seed)
+    context.without_thrift = run(name, ExpectedCompletion(), seed)
+    context.with_thrift = run(name, ExpectedCompletion(thrift=0.8), seed)
 
 
 @then(
-    "a complete answer costs at most {most:f} of its cost without thrift and attainment is at"
-    " least {least:f}"
+    "a complete answer costs at most {maximum:f} of its cost without thrift and attainment is at"
+    " least {minimum:f}"
 )
-def cheaper(context, most, least):
-    assert context.thrifty.cost <= most * context.plain.cost, (context.thrifty, context.plain)
-    assert context.thrifty.attainment >= least, context.thrifty
+def cheaper(context, maximum, minimum):
+    assert context.with_thrift.cost <= maximum * context.without_thrift.cost, (
+        context.with_thrift,
+        context.without_thrift,
+    )
+    assert context.with_thrift.attainment >= minimum, context.with_thrift
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -32,40 +32,40 @@
 
 
 @when("the first event of a lasting request to a-1 has arrived")
-def up_to_first(context):
+def first_event_arrives(context):
     sent = request("r", PATHS["lasting"], context.clock.now())
     context.answer = context.run(context.fleet.send, "a-1", sent)
     context.stack.callback(context.answer.body.close)
 
 
 @given("the stream of the first server that runs request r is cut after its first events")
-def cut_first(context):
+def first_stream_cut(context):
     upstream = context.fleet.upstream
-    plain = upstream.open
+    original = upstream.open
 
     def open_(server, call, limit_ms):
         first = not upstream.runs[call.request.id]
         upstream.faults = {server.name: ServerFault.CUT} if first else {}
-        return plain(server, call, limit_ms)
+        return original(server, call, limit_ms)
 
     upstream.open = open_
 
 
 @then("request r was answered completely by {servers:d} servers")
-def ended_whole(context, servers):
+def answered_completely(context, servers):
     status, body, code, _, error = context.ends["r"]
     assert (status, code, body.count(b"id: ")) == (200, 0, 6), (status, code, body, error)
     assert len(set(context.fleet.upstream.runs["r"])) == servers
 
 
 @then("each of its stages ran twice")
-def made_twice(context):
+def stages_ran_twice(context):
     made = [piece.stage for call in context.fleet.upstream.calls for piece in call.pieces]
     assert sorted(made) == [0, 0, 1, 1], made
 
 
 @given("a piece with its inputs in data centre a that is due in {due:d} ms")
-def wanted(context, due):
+def piece_with_inputs(context, due):
     now = context.clock.now()
     context.progress = JobProgress(job(now + due, "a"), lambda results: None, now)
     context.state = ServerState(listed_server(SERVER, "enc", "x", "b", 8, False), random.Random(1))
@@ -73,41 +73,41 @@
 
 @then("after {ms:d} ms a free server of data centre b takes it")
 def takes(context, ms):
-    assert far_goes(context, ms)
+    assert remote_may_run(context, ms)
 
 
 @then("after {ms:d} ms a free server of data centre b does not take it")
-def takes_not(context, ms):
-    assert not far_goes(context, ms)
+def does_not_take(context, ms):
+    assert not remote_may_run(context, ms)
 
 
-def far_goes(context, ms):
+def remote_may_run(context, ms):
     context.run(context.clock.sleep, float(ms))
     now = context.clock.now()
     return PieceQueue().may_run_at(context.progress, context.state, {"a", "b"}, BATCH, now)
 
 
-@given("a server with result memory of {room:d} bytes, {used:d} of them known to be in use")
-def room_for(context, room, used):
-    context.room = ResultMemory()
-    context.room.reserve(SERVER, used)
-    context.bytes = room
+@given("a server with result memory of {capacity:d} bytes, {used:d} of them known to be in use")
+def server_memory(context, capacity, used):
+    context.memory = ResultMemory()
+    context.memory.reserve(SERVER, used)
+    context.capacity = capacity
 
 
 @when("it is found full, with results kept for {ms:d} ms")
 def found_full(context, ms):
     now = context.clock.now()
-    unknown = context.bytes - context.room.used_bytes(SERVER, now)
-    context.room.record_full(SERVER, unknown, now, ms)
+    unknown = context.capacity - context.memory.used_bytes(SERVER, now)
+    context.memory.record_full(SERVER, unknown, now, ms)
 
 
 @then("{number:g} bytes are considered in use there")
 def in_use(context, number):
-    assert context.room.used_bytes(SERVER, context.clock.now()) == number
+    assert context.memory.used_bytes(SERVER, context.clock.now()) == number
 
 
 @given("{pieces:d} pieces are completed every {ms:d} ms")
-def made_every(context, pieces, ms):
+def completed_every(context, pieces, ms):
     context.rate = PieceRate(context.clock)
 
     def make():
@@ -147,7 +147,7 @@
 
 
 @given("its servers have completed {pieces:d} pieces in each {ms:d} ms for {all_ms:d} ms")
-def have_made(context, pieces, ms, all_ms):
+def have_completed(context, pieces, ms, all_ms):
     context.batcher.rate.set_congested(True)
     for _ in range(all_ms // ms):
         context.run(context.clock.sleep, float(ms))
@@ -252,5 +252,5 @@
 
 
 @when("results of {size:d} bytes are lost there for {ms:d} ms")
-def lost(context, size, ms):
-    context.room.record_lost(SERVER, size, context.clock.now() + ms)
+def results_lost(context, size, ms):
+    context.memory.record_lost(SERVER, size, context.clock.now() + ms)
--- a/features/steps/transfer_steps.py
+++ b/features/steps/transfer_steps.py
@@ -28,13 +28,13 @@
 class RecordingLink:
     """Records the encoded messages sent over it; breaks after a number of them."""
 
-    def __init__(self, most=10_000):
+    def __init__(self, max_messages=10_000):
         self.sent = []
-        self.most = most
+        self.max_messages = max_messages
         self.peer = Instance("peer", "1", "b", "", "10.0.0.2:1")
 
     def send(self, message):
-        if len(self.sent) >= self.most:
+        if len(self.sent) >= self.max_messages:
             raise PeerError("the link is closed")
         self.sent.append(encode(message))
         return len(self.sent[-1])
@@ -47,13 +47,13 @@
     return Fleet(membership, None, clock, MemoryMetrics(), (), follower, Directory(clock))
 
 
-def travel(context, parts):
+def send_slices(context, parts):
     context.messages = [encode(part) for part in parts]
     assembly = CatalogueAssembly()
-    context.whole, context.error = None, None
+    context.received, context.error = None, None
     try:
         for data in context.messages:
-            context.whole = assembly.add(decode(data)) or context.whole
+            context.received = assembly.add(decode(data)) or context.received
     except PeerError as error:
         context.error = error
 
@@ -70,42 +70,44 @@
 
 @when("it is sent to a peer in slices")
 def in_parts(context):
-    travel(context, slices(7, context.encoded))
+    send_slices(context, slices(7, context.encoded))
 
 
 @when("the first {count:d} slices of one are followed by the remaining slices of the other")
 def mixed(context, count):
-    travel(context, [*slices(7, context.encoded)][:count] + [*slices(8, context.other)][count:])
+    send_slices(
+        context, [*slices(7, context.encoded)][:count] + [*slices(8, context.other)][count:]
+    )
 
 
 @when("it is sent to a peer with one byte changed")
-def changed(context):
+def one_byte_changed(context):
     parts = [*slices(7, context.encoded)]
     data = bytearray(parts[2].data)
     data[100] ^= 1
     parts[2] = replace(parts[2], data=bytes(data))
-    travel(context, parts)
+    send_slices(context, parts)
 
 
-@then("no message is longer than {most:d} bytes")
-def bounded(context, most):
-    assert max(map(len, context.messages)) <= most, max(map(len, context.messages))
+@then("no message is longer than {limit:d} bytes")
+def bounded(context, limit):
+    assert max(map(len, context.messages)) <= limit, max(map(len, context.messages))
 
 
 @then("the peer has the whole catalogue")
-def whole(context):
+def has_catalogue(context):
     assert context.error is None, context.error
-    assert context.whole == context.encoded
+    assert context.received == context.encoded
 
 
 @then("the peer has no catalogue")
 def no_catalogue(context):
-    assert context.whole is None
+    assert context.received is None
 
 
 @then("the peer refuses it with code {code:d}")
 def refused(context, code):
-    assert context.whole is None
+    assert context.received is None
     assert context.error is not None
     assert context.error.code.number == code, context.error.code
 
@@ -125,53 +127,55 @@
     for number in range(instances):
         address = f"10.1.{number // 250}.{number % 250}:7000"
         context.fleet.membership.add_reported(Instance(f"edge-{number}", "", "a", "", address))
-    context.known = Directory(VirtualClock())
+    context.peer_directory = Directory(VirtualClock())
 
 
-def ask(context, link):
+def request_servers(context, link):
     context.fleet.send_first_messages(link)
     with contextlib.suppress(PeerError):
-        context.fleet.send_directory(link, context.known.newest)
+        context.fleet.send_directory(link, context.peer_directory.newest)
     context.messages = link.sent
     for data in link.sent:
         message = decode(data)
         if hasattr(message, "records"):
-            context.known.apply(message.records, message.position, "peer", message.reappear_ms)
+            context.peer_directory.apply(
+                message.records, message.position, "peer", message.reappear_ms
+            )
 
 
 @when("a peer that knows none of them asks for them")
 @when("a peer that knows some of them asks for the rest")
-def asks(context):
-    ask(context, RecordingLink())
+def peer_requests(context):
+    request_servers(context, RecordingLink())
 
 
 @when("a peer that knows none of them asks for them and the link breaks after {count:d} messages")
-def asks_in_vain(context, count):
-    greeting = RecordingLink()
-    context.fleet.send_first_messages(greeting)
-    ask(context, RecordingLink(len(greeting.sent) + count))
-    assert 0 < len(context.known.records) < len(context.fleet.directory.records)
-    assert not context.known.ready
+def link_breaks(context, count):
+    first_messages = RecordingLink()
+    context.fleet.send_first_messages(first_messages)
+    request_servers(context, RecordingLink(len(first_messages.sent) + count))
+    assert 0 < len(context.peer_directory.records) < len(context.fleet.directory.records)
+    assert not context.peer_directory.ready
 
 
 @then("the peer knows all {servers:d} servers")
 def knows_all(context, servers):
-    assert len(context.known.records) == servers, len(context.known.records)
-    assert context.known.ready
+    assert len(context.peer_directory.records) == servers, len(context.peer_directory.records)
+    assert context.peer_directory.ready
 
 
 @then("messages of every size that are truncated or changed are decoded or refused")
-def cut_or_changed(context):
+def truncated_or_changed(context):
     rng = random.Random(1)
     link = RecordingLink()
     large_fleet(context, 600, 390)
-    ask(context, link)
+    request_servers(context, link)
     messages = link.sent + [encode(part) for part in slices(3, rng.randbytes(30_000))]
     for data in messages:
         for _ in range(20):
-            spoilt = bytearray(data[: rng.randrange(len(data))] if rng.random() < 0.5 else data)
+            corrupted = bytearray(data[: rng.randrange(len(data))] if rng.random() < 0.5 else data)
             for _ in range(rng.randrange(4)):
-                if spoilt:
-                    spoilt[rng.randrange(len(spoilt))] = rng.randrange(256)
+                if corrupted:
+                    corrupted[rng.randrange(len(corrupted))] = rng.randrange(256)
             with contextlib.suppress(PeerError):
-                decode(bytes(spoilt))
+                decode(bytes(corrupted))
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -14,7 +14,7 @@
 
 # Due before the pieces of the scenario's request, so sent before them, and not late yet.
 DUE_MS = 300.0
-PROMPTS = "prompts of llm"
+PROMPTS_TOPIC = "prompts of llm"
 
 
 def instance(context, where, topic="enc"):
@@ -76,7 +76,7 @@
 
 
 @when("an instance with staged request r, which another one coordinates, crashes after {ms:d} ms")
-def ends(context, ms):
+def instance_crashes(context, ms):
     one = instance(context, "another instance")
 
     def play():
@@ -113,12 +113,12 @@
 
 @when("the caller of a prompt leaves after {ms:d} ms, not at the placement coordinator")
 def prompt_leaves(context, ms):
-    name = instance(context, "another instance", PROMPTS).settings.name
+    name = instance(context, "another instance", PROMPTS_TOPIC).settings.name
     leave(context, name, request("r", PATHS["stream"], context.clock.now()), float(ms))
 
 
 @then("{number:d} pieces of r ran")
-def made(context, number):
+def pieces_ran(context, number):
     calls = context.fleet.upstream.calls
     found = [piece for call in calls for piece in call.pieces if piece.request == "r"]
     assert len(found) == number, found
@@ -136,13 +136,15 @@
 
 
 @then("the stage was settled as late")
-def late(context):
+def settled_late(context):
     ((result,),) = context.settled
     assert result.failure is PieceFailure.LATE, result
 
 
 @then("no server is considered to be prefilling a prompt")
-def nothing_read(context):
+def nothing_prefilled(context):
     for one in context.fleet.instances.values():
-        desk = desk_of(one)
-        assert not desk.placed and not desk.placement.pending_tokens, desk.placed
+        coordinator = desk_of(one)
+        assert (
+            not coordinator.placed and not coordinator.placement.pending_tokens
+        ), coordinator.placed
--- a/features/withdrawal.feature
+++ b/features/withdrawal.feature
@@ -1,8 +1,9 @@
 @forwarding
 Feature: Withdrawal of work that no caller waits for
-  # In a burst callers leave while their requests wait for stage servers, and instances crash. Pieces
-  # that still run for them take calls and result memory from requests with callers. Here a call
-  # takes 150 ms and 10 ms for each piece, and a result is stored for four seconds unless released.
+  # In a burst callers leave while their requests wait for stage servers, and instances crash.
+  # Pieces that still run for them take calls and result memory from requests with callers. Here a
+  # call takes 150 ms and 10 ms for each piece, and a result is stored for four seconds unless
+  # released.
   Background:
     Given a forwarding fleet of instances a-1, a-2, b-1
     And servers desk-1, desk-2 of service desk and llm-1, llm-2 of service llm
