--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -1,8 +1,8 @@
-# heavyday_steps.py -- Steps about decisions under the heaviest loads
+# heavyday_steps.py -- Steps about decisions under heavy load
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about decisions under the heaviest loads."""
+"""Steps about decisions under heavy load."""
 
 import json
 import random
@@ -51,7 +51,7 @@
 RESULT_BYTES = 1_500_000.0
 LIMITS = BatchLimits(1, 2, 5, 200.0, 33.6, 11.25, 4_000.0, 10_000.0)
 TOPICS = ("prompts", "first stage", "second stage", "third stage")
-# The price that the scenarios' engines have for moving a token's memory.
+# Cache size of one token on the scenarios' engines, in bytes.
 TOKEN_BYTES = 163_840.0
 
 
@@ -70,43 +70,45 @@
 
 
 @given(
-    "a server whose room for 7 results is to be {use} by a call"
-    " with {new:d} beside {old:d} that lie there"
+    "a server whose memory for 7 results is to be {use} by a call with {new:d} pieces beside "
+    "{old:d} stored results"
 )
-def room(context, use, new, old):
+def server_memory(context, use, new, old):
     context.clock = VirtualClock()
     state = router(context.clock).state(server("enc-1", "a"))
-    context.room = ResultMemory()
+    context.memory = ResultMemory()
     for _ in range(old):
-        context.room.reserve("enc-1", RESULT_BYTES)
-    home = SimpleNamespace(result_memory=context.room, queue=PieceQueue(), clock=context.clock)
-    home.hedged = set()
+        context.memory.reserve("enc-1", RESULT_BYTES)
+    batcher_state = SimpleNamespace(
+        result_memory=context.memory, queue=PieceQueue(), clock=context.clock
+    )
+    batcher_state.hedged = set()
     context.progress = JobProgress(job(new), lambda results: None, 0.0)
     batch = [(context.progress, number) for number in range(new)]
-    context.batch = BatchRun(home, state, batch, LIMITS, 0.0)
+    context.batch = BatchRun(batcher_state, state, batch, LIMITS, 0.0)
     for _ in range(new):
-        context.room.reserve("enc-1", RESULT_BYTES)
+        context.memory.reserve("enc-1", RESULT_BYTES)
 
 
-@when("it has no room for the last one")
-def no_room(context):
-    context.lying = context.room.used_bytes("enc-1", 0.0) - RESULT_BYTES
+@when("it refuses the last piece for lack of memory")
+def refuses_last_piece(context):
+    context.used_before = context.memory.used_bytes("enc-1", 0.0) - RESULT_BYTES
     result = PieceResult("", PieceFailure.NO_ROOM)
     context.batch.handle_result((context.progress, context.progress.job.pieces - 1), result, 0.0)
 
 
-@then("it is not taken to be full of results of others")
-def not_full(context):
-    assert context.room.used_bytes("enc-1", 0.0) == context.lying
+@then("its memory is not recorded as full")
+def not_recorded_full(context):
+    assert context.memory.used_bytes("enc-1", 0.0) == context.used_before
 
 
-@then("it is taken to be full of results of others")
-def full(context):
-    assert context.room.used_bytes("enc-1", 0.0) >= LIMITS.result_memory_bytes - RESULT_BYTES
+@then("its memory is recorded as full of results of other instances")
+def recorded_full(context):
+    assert context.memory.used_bytes("enc-1", 0.0) >= LIMITS.result_memory_bytes - RESULT_BYTES
 
 
-@given("a stage of {pieces:d} pieces that nothing is begun of, to be given up after {ms:d} ms")
-def unbegun(context, pieces, ms):
+@given("a stage of {pieces:d} pieces, none of them begun, to be given up after {ms:d} ms")
+def unbegun_stage(context, pieces, ms):
     context.settled = []
     context.now = 0.0
     context.progress = JobProgress(job(pieces, float(ms)), context.settled.append, 0.0)
@@ -114,19 +116,19 @@
     context.queue.add(context.progress)
 
 
-@given("one of its pieces is taken")
-def taken(context):
+@given("one of its pieces is dispatched")
+def piece_dispatched(context):
     context.progress.begun = True
     context.queue.take(context.queue.waiting[:1])
 
 
-@when("{ms:d} ms go by at the queue")
-def go_by(context, ms):
+@when("{ms:d} ms pass in the queue")
+def pass_in_queue(context, ms):
     context.now += ms
     context.queue.drop_expired(context.now)
 
 
-@then("the stage waits on")
+@then("the stage still waits")
 def waits_on(context):
     assert not context.settled and len(context.queue) > 0
 
@@ -139,7 +141,7 @@
 
 
 class GivingUpDispatch(NullDispatch):
-    """Gives a stage up as not begun at first; one that is handed over again is done."""
+    """Settles a stage with a give-up time as not begun; a stage submitted again succeeds."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -153,18 +155,18 @@
         return object()
 
 
-@given("a request whose stage is given up since nothing of it was begun")
+@given("a request with a stage that is given up before any of its pieces began")
 def given_up(context):
     context.clock = VirtualClock()
     context.pieces = (1, 0)
 
 
-@given("nothing else of it was begun")
-def nothing_else(context):
+@given("no other stage of it has begun")
+def no_other_stage(context):
     pass
 
 
-@given("another of its stages is under way")
+@given("another of its stages is running")
 def another_stage(context):
     context.pieces = (1, 1)
 
@@ -192,22 +194,22 @@
     assert not context.flow.begun
 
 
-@then("it ends as a whole set of results")
+@then("it ends as a complete set of results")
 def ends_whole(context):
     assert context.ended == ("0/0", "1/0"), context.ended
 
 
-@given("a stage that was handed to an instance and moved to the next one")
-def moved(context):
+@given("a stage that was assigned to one instance and reassigned to a second")
+def reassigned(context):
     clock = VirtualClock()
-    joined = SimpleNamespace(is_divided=lambda service: False)
-    here = SimpleNamespace(me=SimpleNamespace(datacentre="a"))
+    division = SimpleNamespace(is_divided=lambda service: False)
+    membership = SimpleNamespace(me=SimpleNamespace(datacentre="a"))
     fleet = SimpleNamespace(
         coordinator=lambda service: None,
         links={},
         peer_gone=[],
-        division=joined,
-        membership=here,
+        division=division,
+        membership=membership,
         subscribe=lambda kind, take: None,
     )
     batcher = SimpleNamespace(submit=lambda job, done: SimpleNamespace(job=job))
@@ -219,18 +221,18 @@
     context.dispatch.reassign_from("10.0.0.1:7000")
 
 
-@when("the next one gives it up as not begun")
-def next_gives_up(context):
+@when("the second instance gives it up as not begun")
+def second_gives_up(context):
     context.dispatch.settle(context.number, (PieceResult("", PieceFailure.NOT_BEGUN),))
 
 
-@then("its request is told that it came too late")
-def told_late(context):
+@then("the stage fails as late")
+def fails_late(context):
     assert [one.failure for one in context.settled[0]] == [PieceFailure.LATE]
 
 
-@given("routes with priorities 0, 1 and 2 and teams with priorities {levels}")
-def priorities(context, levels):
+@given("routes with priorities 0, 1 and 2 and teams with priorities {team_priorities}")
+def priorities(context, team_priorities):
     document = {
         "version": 1,
         "routes": [
@@ -241,14 +243,14 @@
         "services": [{"name": "s"}],
         "tenants": [
             {"name": f"t{n}", "api_keys": [f"k{level}"], "priority": int(level)}
-            for n, level in enumerate(levels.split(", "))
+            for n, level in enumerate(team_priorities.split(", "))
         ],
     }
     context.catalogue = decode_catalogue(json.dumps(document).encode())
 
 
 @when("a request of a team with priority {team} is sent on the route with priority {route:d}")
-def of_team(context, team, route):
+def request_rank(context, team, route):
     caller = context.catalogue.keys.get(f"k{team}")
     found = context.catalogue.match("x", f"/{route}/1")
     context.rank = context.catalogue.urgency(caller, found)
@@ -259,7 +261,7 @@
     assert context.rank == rank, context.rank
 
 
-@given("pieces of rank 0 due in 900 ms behind pieces of rank 2 due in 200 ms")
+@given("pieces of rank 2 due in 200 ms, queued before pieces of rank 0 due in 900 ms")
 def ranked_pieces(context):
     context.queue = PieceQueue()
     for urgency, due in ((2, 200.0), (0, 900.0)):
@@ -279,28 +281,30 @@
     assert [progress.job.urgency for progress, _ in context.batch] == [0] * 5
 
 
-@given("requests with an aim of {aim:d} ms that come with {allowed:d} ms")
-def first_tries(context, aim, allowed):
+@given(
+    "requests with a latency target of {target:d} ms and usually {allowed:d} ms to their deadline"
+)
+def usual_requests(context, target, allowed):
     context.forecast = StageForecast(None, None)
     context.route = next(one for one in ROUTES if one.name == "staged")
     sent = request("r", PATHS["staged"], 0.0, allowed_ms=float(allowed))
     assert context.forecast.age_ms(sent, context.route) == 0.0
 
 
-@when("one of them comes with {left:d} ms left")
-def comes_back(context, left):
+@when("one of them arrives with {left:d} ms remaining")
+def arrives_with(context, left):
     sent = request("r", PATHS["staged"], 0.0, allowed_ms=float(left))
     context.age_ms = context.forecast.age_ms(sent, context.route)
 
 
-@then("it is known to be {age:d} ms old")
-def is_old(context, age):
+@then("its age is estimated as {age:d} ms")
+def has_age(context, age):
     assert context.age_ms == age
 
 
-@then("one that comes with {left:d} ms left counts as a first try")
-def counts_first(context, left):
-    comes_back(context, left)
+@then("one that arrives with {left:d} ms remaining counts as a first attempt")
+def counts_as_first(context, left):
+    arrives_with(context, left)
     assert context.age_ms == 0.0
 
 
@@ -323,72 +327,73 @@
     return Ranking(membership)
 
 
-@given("{number:d} instances that started together")
-def together(context, number):
+@given("{number:d} instances that started at the same time")
+def started_together(context, number):
     context.instances = [member(n, 1_000) for n in range(number)]
 
 
-@when("the one that has the work of a topic is killed and starts again")
-def starts_again(context):
+@when("the coordinator of each topic is killed and restarts")
+def coordinator_restarts(context):
     context.before = {topic: ranking(context.instances).ranked(topic)[0] for topic in TOPICS}
-    context.again = {}
+    context.after_restart = {}
     for topic, first in context.before.items():
         rest = [one for one in context.instances if one is not first]
         number = int(first.name.partition("-")[2])
         meanwhile = ranking(rest).ranked(topic)[0]
         after = ranking([*rest, member(number, 9_000)]).ranked(topic)[0]
-        context.again[topic] = (meanwhile, after)
+        context.after_restart[topic] = (meanwhile, after)
 
 
-@then("the work is at another one, and stays there")
-def stays(context):
-    for topic, (meanwhile, after) in context.again.items():
+@then("another instance becomes the coordinator and remains it")
+def coordinator_moves_once(context):
+    for topic, (meanwhile, after) in context.after_restart.items():
         assert meanwhile.name == after.name != context.before[topic].name, topic
 
 
-@given("one with four times the cores that started last")
-def large(context):
+@given("an instance with four times the cores that started last")
+def large_instance(context):
     context.instances.append(member(99, 9_000, cores=4.0))
 
 
-@then("the work of every topic is at that one")
-def at_large(context):
+@then("that instance is the coordinator of every topic")
+def coordinates_all(context):
     ranked = ranking(context.instances)
     assert {ranked.ranked(topic)[0].name for topic in TOPICS} == {"edge-99"}
 
 
-def desk(context, speed, mbps):
+def make_coordinator(context, speed, mbps):
     clock = VirtualClock()
     transfer = PromptTransfer(TOKEN_BYTES, mbps) if mbps else None
     catalogue = SimpleNamespace(services={"planner": Service("planner", 100, transfer=transfer)})
     servers = (server("llm-1", "a"), server("llm-2", "b"))
     directory = SimpleNamespace(available=lambda service: servers)
     follower = SimpleNamespace(service=catalogue.services.get)
-    context.desk = PlacementCoordinator(
+    context.coordinator = PlacementCoordinator(
         directory, router(clock), clock, follower, NoColdServers(), NoLimits()
     )
-    context.desk.placement.speed.tokens_per_ms = speed
+    context.coordinator.placement.speed.tokens_per_ms = speed
 
 
 @given(
-    "an engine that reads {speed:g} tokens a millisecond and moves kept parts at {mbps:d} Mbit/s"
+    "an engine that prefills {speed:g} tokens a millisecond and transfers cached parts at "
+    "{mbps:d} Mbit/s"
 )
 def engine(context, speed, mbps):
-    desk(context, speed, mbps)
+    make_coordinator(context, speed, mbps)
 
 
-@given("a shared part of {tokens:d} tokens that a server of another data centre keeps")
-def kept_elsewhere(context, tokens):
+@given("a shared part of {tokens:d} tokens that a server of another data centre has cached")
+def cached_elsewhere(context, tokens):
     context.shared = PromptPart("shared", tokens)
     prompt = Prompt(tokens + 10, 10, (context.shared, PromptPart("other", 10)))
-    context.desk.placement.record_start("llm-2", prompt, 0)
-    context.desk.placement.record_end("llm-2")
+    context.coordinator.placement.record_start("llm-2", prompt, 0)
+    context.coordinator.placement.record_end("llm-2")
 
 
-def place(context, own, site):
+def place_prompt(context, own, input_datacentre):
     prompt = Prompt(context.shared.tokens + own, 30, (context.shared, PromptPart("own", own)))
-    order = PlacementOrder(1, "planner", prompt, (), site)
-    context.reply = context.desk.place(order, "me")
+    order = PlacementOrder(1, "planner", prompt, (), input_datacentre)
+    context.reply = context.coordinator.place(order, "me")
 
 
 @when(
@@ -396,13 +401,13 @@
 )
 def placed(context, own):
     context.own = own
-    place(context, own, "a")
+    place_prompt(context, own, "a")
 
 
 @when("a prompt with {own:d} tokens of its own and an unknown part of {tokens:d} is placed")
 def placed_unknown(context, own, tokens):
     context.shared = PromptPart("unknown", tokens)
-    place(context, own, "")
+    place_prompt(context, own, "")
 
 
 @then("it goes to the first data centre and fetches {tokens:d} tokens")
@@ -412,43 +417,43 @@
     assert tokens == context.shared.tokens
 
 
-@then("it goes to the first data centre and reads all of its tokens")
-def reads_all(context):
+@then("it goes to the first data centre and prefills all of its tokens")
+def prefills_all(context):
     whole = context.own + context.shared.tokens
     assert (context.reply.server, context.reply.source) == ("llm-1", ""), context.reply
     assert context.reply.read == whole
 
 
-@then("it goes to the second data centre and reads its own tokens")
-def reads_own(context):
+@then("it goes to the second data centre and prefills its own tokens")
+def prefills_own(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
     assert context.reply.read == context.own
 
 
-@then("it is expected to read {tokens:d} tokens")
-def expected_to_read(context, tokens):
+@then("it is expected to prefill {tokens:d} tokens")
+def expected_to_prefill(context, tokens):
     assert context.reply.read == tokens
 
 
-@given("engines that really read {speed:g} tokens a millisecond")
-def real_speed(context, speed):
-    context.real = speed
-    desk(context, 40.0, 0)
+@given("engines with a true speed of {speed:g} prefilled tokens a millisecond")
+def engines_with_speed(context, speed):
+    context.true_speed = speed
+    make_coordinator(context, 40.0, 0)
 
 
-@when("{number:d} prompts were read")
-def were_read(context, number):
+@when("{number:d} prompts were prefilled")
+def were_prefilled(context, number):
     for n in range(number):
         parts = (PromptPart(f"part {n}", 2_000), PromptPart(f"own {n}", 1_000))
         order = PlacementOrder(n, "planner", Prompt(3_000, 10, parts), (), "")
-        context.desk.place(order, "me")
-        context.desk.apply_note(PlacementNote(n, 3_000 / context.real, True), "me")
+        context.coordinator.place(order, "me")
+        context.coordinator.apply_note(PlacementNote(n, 3_000 / context.true_speed, True), "me")
 
 
-@then("the speed is known within {part:d} parts in a hundred")
-def known_speed(context, part):
-    known = context.desk.placement.speed.tokens_per_ms
-    assert abs(known - context.real) <= context.real * part / 100, known
+@then("the speed is estimated within {percent:d} percent")
+def estimated_speed(context, percent):
+    estimate = context.coordinator.placement.speed.tokens_per_ms
+    assert abs(estimate - context.true_speed) <= context.true_speed * percent / 100, estimate
 
 
 @given("results of {size:g} MB over links of {mbps:d} Mbit/s")
@@ -457,32 +462,32 @@
     context.size, context.mbps = size * 1e6, float(mbps)
 
 
-@then("they are kept for about {ms:d} ms after the request was sent")
-def kept_for(context, ms):
+@then("they are stored for about {ms:d} ms after the request was sent")
+def stored_for(context, ms):
     assert abs(context.fetch.wait_ms(context.size, context.mbps) - ms) < 1.0
 
 
-@when("a server found them gone")
-def found_gone(context):
+@when("a server found them already released")
+def found_released(context):
     context.fetch.record_early_release()
 
 
-@when("{number:d} servers had what they needed")
-def had_all(context, number):
+@when("{number:d} servers fetched them in time")
+def fetched_in_time(context, number):
     for _ in range(number):
         context.fetch.record_fetched()
 
 
-@given('server {name} has fault "unreachable", which shows after {ms:d} ms')
+@given('server {name} has fault "unreachable", detected after {ms:d} ms')
 def unreachable(context, name, ms):
     upstream = context.fleet.upstream
     upstream.faults[name] = ServerFault.UNREACHABLE
-    plain = upstream.open
+    original = upstream.open
 
     def open_(server, call, limit_ms):
         if server.name == name:
             context.clock.sleep(float(ms))
-        return plain(server, call, limit_ms)
+        return original(server, call, limit_ms)
 
     upstream.open = open_
 
@@ -500,11 +505,11 @@
 @given("the next result of a first stage is lost")
 def result_lost(context):
     upstream = context.fleet.upstream
-    plain = upstream.run_pieces
+    original = upstream.run_pieces
     lost = []
 
-    def run_pieces(server, pieces, limit_ms, heard):
-        made = plain(server, pieces, limit_ms, heard)
+    def run_pieces(server, pieces, limit_ms, on_notices):
+        made = original(server, pieces, limit_ms, on_notices)
         if pieces[0].stage == 1 and not lost:
             lost.append(pieces[0])
             return tuple(PieceResult("", PieceFailure.INPUT_GONE) for _ in pieces)
@@ -514,14 +519,17 @@
     context.lost = lost
 
 
-@then("it is answered whole")
+@then("it is answered completely")
 def answered_whole(context):
     assert context.lost
     assert context.ends["r"][0] == 200 and context.ends["r"][2] == 0, context.ends
 
 
-@given("a stage service that makes {rate:g} pieces a millisecond, all of it asked for by rank 0")
-def all_asked(context, rate):
+@given(
+    "a stage service that completes {rate:g} pieces a millisecond, all of them demanded by "
+    "rank 0"
+)
+def all_demanded(context, rate):
     clock = VirtualClock()
     context.rate = rate
     context.demand = StageDemand(clock)
--- a/features/steps/piece_steps.py
+++ b/features/steps/piece_steps.py
@@ -1,8 +1,8 @@
-# piece_steps.py -- Steps about pieces of stages
+# piece_steps.py -- Steps about batching the pieces of stages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about pieces of stages."""
+"""Steps about batching the pieces of stages."""
 
 from collections import Counter
 from dataclasses import replace
@@ -18,7 +18,7 @@
 NAMES = ("a-1", "a-2", "b-1")
 
 
-def staged(context, number, within_ms=0.0):
+def send_staged(context, number, within_ms=0.0):
     def send(n):
         context.clock.sleep(n * within_ms / number)
         sent = request(f"s{n}", PATHS["staged"], context.clock.now())
@@ -33,24 +33,24 @@
 def at_once(context, number):
     context.inputs = {}
     upstream = context.fleet.upstream
-    plain = upstream.open
+    original = upstream.open
 
     def open_(server, call, limit_ms):
         context.inputs[call.request.id] = call.inputs
-        return plain(server, call, limit_ms)
+        return original(server, call, limit_ms)
 
     upstream.open = open_
-    staged(context, number)
+    send_staged(context, number)
 
 
 @when("{number:d} staged requests come within {ms:d} ms over all instances")
 def within(context, number, ms):
-    staged(context, number, float(ms))
+    send_staged(context, number, float(ms))
 
 
 @when("a staged request is sent to another instance")
 def to_another(context):
-    name = next(one for one in NAMES if one != context.home)
+    name = next(one for one in NAMES if one != context.coordinator)
     context.began = context.clock.now()
     context.run(serve, context, name, request("s0", PATHS["staged"], context.clock.now()))
     context.took_ms = context.clock.now() - context.began
@@ -61,12 +61,12 @@
     context.run(serve, context, "a-1", request("s0", PATHS["staged"], context.clock.now()))
 
 
-@given("the instance where pieces of {service} meet is cut off from its peers")
-def home_cut(context, service):
-    context.home = find_coordinator(context, service).settings.name
+@given("the coordinator of service {service} is cut off from its peers")
+def coordinator_cut_off(context, service):
+    context.coordinator = find_coordinator(context, service).settings.name
     for other in NAMES:
-        if other != context.home:
-            context.fleet.network.cut_instances.add(frozenset({other, context.home}))
+        if other != context.coordinator:
+            context.fleet.network.cut_instances.add(frozenset({other, context.coordinator}))
 
 
 @then("every staged request ends with status {status:d}")
@@ -83,8 +83,8 @@
     assert len(made) <= calls, [(call.server, call.at, len(call.pieces)) for call in made]
 
 
-@then("no piece was made twice")
-def once(context):
+@then("no piece ran twice")
+def ran_once(context):
     made = Counter(
         (piece.request, piece.stage, piece.fragment)
         for call in context.fleet.upstream.piece_calls
@@ -110,13 +110,13 @@
     assert context.took_ms <= ms, context.took_ms
 
 
-@then("every result was given up")
-def given_up(context):
+@then("every result was released")
+def all_released(context):
     made = sum(len(call.pieces) for call in context.fleet.upstream.piece_calls)
     assert len(context.fleet.upstream.released) == len(set(context.fleet.upstream.released)) == made
 
 
-@then("some staged requests are refused with {code:d} at once and say when to come back")
+@then("some staged requests are refused with {code:d} at once and name a time to retry")
 def refused(context, code):
     context.refused = {id_: end for id_, end in context.ends.items() if end[2] == code}
     assert context.refused
@@ -125,8 +125,8 @@
     )
 
 
-@then("no piece of a refused request was made")
-def not_made(context):
+@then("no piece of a refused request ran")
+def refused_not_run(context):
     made = {piece.request for call in context.fleet.upstream.piece_calls for piece in call.pieces}
     assert not made & set(context.refused)
 
@@ -136,15 +136,15 @@
     assert context.ends["s0"][3] == class_, context.ends
 
 
-@then("every result was given up once")
-def given_up_once(context):
+@then("every result was released once")
+def all_released_once(context):
     made = sum(len(call.pieces) for call in context.fleet.upstream.piece_calls)
     freed = context.fleet.upstream.released
     assert len(freed) == len(set(freed)) == made, (len(freed), made)
 
 
-@then("no batcher remembers a piece")
-def forgotten(context):
+@then("no batcher holds a piece or a result")
+def nothing_held(context):
     for instance in context.fleet.instances.values():
         for batcher in instance.dispatch.batchers.values():
             assert not batcher.queue and not batcher.hedged and not batcher.result_memory.results
@@ -152,7 +152,7 @@
 
 
 class RecordingDispatch(NullDispatch):
-    """Takes stages in and settles them at once, each piece with a handle of its own."""
+    """Records stages and settles them at once, each piece with its own handle."""
 
     def __init__(self):
         self.jobs = []
@@ -162,7 +162,7 @@
         done(tuple(PieceResult(f"{job.stage}/{n}") for n in range(job.pieces)))
 
 
-@given("a route whose third stage follows the second of two first ones")
+@given("a route whose third stage depends on the second of two initial stages")
 def three_stages(context):
     stages = (RouteStage("x", (), 1.0), RouteStage("y", (), 1.0), RouteStage("z", (1,), 1.0))
     staged = next(one for one in ROUTES if one.name == "staged")
@@ -178,8 +178,8 @@
     context.handles = context.run(flow.run)
 
 
-@then("the third stage is given the {number:d} results of the second")
-def given_second(context, number):
+@then("the third stage gets the {number:d} results of the second")
+def gets_second(context, number):
     inputs = {job.stage: job.inputs for job in context.dispatch.jobs}
     assert inputs == {0: (), 1: (), 2: tuple(f"1/{n}" for n in range(number))}, inputs
     assert context.handles == ("0/0", "0/1", "2/0"), context.handles
