--- a/features/documents.feature
+++ b/features/documents.feature
@@ -1,5 +1,5 @@
-Feature: Bad input gets a clear numbered error and changes nothing
-  Scenario Outline: A faulty document
+Feature: Faults in documents and settings are reported with numbered errors
+  Scenario Outline: Documents that cannot be read
     When the documents <text> are read
     Then the faults are <codes> and name <word>
 
@@ -19,7 +19,7 @@
       | [[pipeline]] name = "p" ; [[pipeline.stage]] name = "s" ; work = "bake" | 4002 | one of encode |
       | [[pipeline]] name = "p" ; [[pipeline.stage]] name = "s" ; work = "call" ; after = ["t"] | 4002 | an earlier stage |
 
-  Scenario Outline: Documents that do not fit together
+  Scenario Outline: Documents that can be read but fail the check
     When the documents <text> are checked
     Then the faults are <codes> and name <word>
 
@@ -30,7 +30,7 @@
       | [[selector]] name = "x" ; match = "a in (b"                  | 4004  | a condition         |
       | [[pipeline]] name = "p" ; [[pipeline.stage]] name = "s" ; work = "encode" | 4002 | expected a model |
 
-  Scenario Outline: Selectors
+  Scenario Outline: Which labels meet a selector
     Then the selector "<text>" is <verb> by the labels <labels>
 
     Examples:
@@ -51,10 +51,10 @@
       | a in (1, 2), b != 4, !c   | not met        | a=1,c=3   |
 
   Scenario: A selector that no server meets is a warning
-    When the example "brindlecote.toml" is checked with a team selector nobody meets
+    When the example "brindlecote.toml" is checked with a team selector that no server meets
     Then the warnings are all 4005
 
-  Scenario Outline: The shipped examples are good
+  Scenario Outline: The shipped examples have no fault and no warning
     When the example "<name>" is checked
     Then there is no fault and no warning
     And it holds <servers> backend servers and <teams> teams
--- a/features/fuzz.feature
+++ b/features/fuzz.feature
@@ -1,5 +1,5 @@
-Feature: No input brings out an unhandled error
-  Scenario Outline: Whatever comes in is read or refused with a numbered error
+Feature: No input causes an unhandled error
+  Scenario Outline: Any input is read or refused with a numbered error
     Then any <input> is read or refused with a numbered error
 
     Examples:
--- a/features/http.feature
+++ b/features/http.feature
@@ -1,5 +1,5 @@
 @http
-Feature: The HTTP interfaces
+Feature: The HTTP interfaces of an instance, over real sockets
   Background:
     Given instances a-1 and b-1 over HTTP
 
@@ -31,46 +31,46 @@
     Then the status is 413 and the problem is 1006 of class not_run
 
   Scenario: A streamed answer ends with a final event
-    When a stream of 12 tokens is asked of a-1
-    Then it holds tokens 1 to 12 and ends with the event done
+    When a stream of 12 tokens is requested from a-1
+    Then the stream holds tokens 1 to 12 and ends with the event done
 
-  Scenario: A whole answer tells where each stage ran
-    When a whole answer is asked of a-1
-    Then it names a server and a time for stages encode, generate
+  Scenario: A complete answer names the server of each stage
+    When a complete answer is requested from a-1
+    Then the answer names a server and a time for stages encode, generate
 
-  Scenario: A caller that goes away cancels its work at the backend server
-    When a caller leaves a-1 after 2 of 2000 tokens
+  Scenario: A caller that disconnects cancels its call at the backend server
+    When a caller disconnects from a-1 after 2 of 2000 tokens
     Then the call is cancelled at its server
 
-  Scenario: A caller that goes away does not cut a request that must not be repeated
+  Scenario: A caller that disconnects does not cancel a request that must not be repeated
     Given every backend server takes 300 ms longer
-    When a push with key "k" is sent to a-1 and left at once
+    When a push with key "k" is sent to a-1 and its caller disconnects
     Then a repeat with key "k" at b-1 is answered in the end
     And "push" was run 1 time
 
-  Scenario: Lost, garbled and foreign answers over HTTP
+  Scenario: Lost, malformed and foreign answers over HTTP
     Given the servers of role small fail as {"lose_answers": 1}
-    When a whole answer is asked of a-1
-    Then it names a server and a time for stages encode, generate
+    When a complete answer is requested from a-1
+    Then the answer names a server and a time for stages encode, generate
     Given the servers of role small fail as {"garbage": true}
-    When a whole answer is asked of a-1
+    When a complete answer is requested from a-1
     Then the status is 502 and the problem is 3004 of class failed
     Given the servers of role small fail as {"foreign": true}
-    When a whole answer is asked of b-1
+    When a complete answer is requested from b-1
     Then the status is 502 and the problem is 3010 of class failed
 
-  Scenario: A key that one instance issued is honoured by another
+  Scenario: A key that one instance issued is accepted by another
     When a push is sent to b-1 with a key that a-1 issued, and again to a-1
     Then both have the same answer
     And "push" was run 1 time
 
-  Scenario: A graceful shutdown cuts no request in progress
+  Scenario: A graceful shutdown aborts no request in progress
     When a-1 is shut down during a stream of 60 tokens
-    Then it holds tokens 1 to 60 and ends with the event done
-    And a-1 cut 0 requests
+    Then the stream holds tokens 1 to 60 and ends with the event done
+    And a-1 aborted 0 requests
 
-  Scenario: Peers that do not have the key are refused
-    When a peer with another key connects to a-1
+  Scenario: Peers without the fleet's secret are refused
+    When a peer with another secret connects to a-1
     Then it is refused with 6001
     When 64 random bytes are sent to the peer address of a-1
     Then a-1 counts a failed peer message and still serves
@@ -81,7 +81,7 @@
     Then the answer is done
     And "push" was run 1 time
 
-  Scenario: A caller that stops reading does not hold its place for ever
-    Given a-1 drops callers that are silent for 300 ms and has small buffers
+  Scenario: A caller that stops reading does not stay admitted for ever
+    Given a-1 drops callers that make no progress for 300 ms and has small buffers
     When a caller asks a-1 for 2000 tokens and reads nothing
-    Then its place at a-1 is free again and the call is cancelled at its server
+    Then it is no longer admitted at a-1 and the call is cancelled at its server
--- a/features/rawanswers.py
+++ b/features/rawanswers.py
@@ -1,8 +1,8 @@
-# rawanswers.py -- Raw answers of backend servers, sound and malformed
+# rawanswers.py -- Raw HTTP answers of backend servers, valid and malformed
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Raw answers of backend servers, sound and malformed."""
+"""Raw HTTP answers of backend servers, valid and malformed."""
 
 SILENCE = object()
 CLOSED = object()
@@ -43,24 +43,25 @@
 
 RESULTS = items_body(*ITEMS)
 
-# By name: the bytes of an answer, and what follows them: whether the connection is closed (False,
-# True), or RESET or LATER. SILENCE and CLOSED stand for no answer at all.
-# @ID is replaced by the id of the request.
+# Answers by name: (bytes, end). After the bytes the server keeps the connection (end False), closes
+# it (True), resets it (RESET) or sends the bytes again 20 ms later (LATER). With SILENCE it sends
+# nothing for 2 s, then closes; with CLOSED it closes at once. @ID is replaced by the id of the
+# request.
 ANSWERS = {
     "whole": (answer(200, b"hello"), False),
     "whole and closing": (answer(200, b"hello", HEAD + b"Connection: close\r\n"), True),
     "chunked": (answer(200, CHUNKS + b"0\r\n\r\n", CHUNKED, False), False),
     "no length": (answer(200, b"hello", length=False), True),
-    "own failure": (answer(500, b"broken"), False),
+    "server error": (answer(500, b"broken"), False),
     "another id": (answer(200, b"hello", NOT_ITS_ID), False),
     "no id": (answer(200, b"hello", b""), False),
     "full, not run": (answer(503, b"", NOT_EXECUTED), False),
     "leaving, not run": (answer(503, b"", NOT_EXECUTED + b"Connection: close\r\n"), True),
     "replaced": (answer(421, b"", b""), False),
     "inputs gone, not run": (answer(409, b"", NOT_EXECUTED), False),
-    "503 without a mark": (answer(503, b"x"), False),
-    "429 without a mark": (answer(429, b"x"), False),
-    "408 without a mark": (answer(408, b"x"), False),
+    "503 without Not-Executed": (answer(503, b"x"), False),
+    "429 without Not-Executed": (answer(429, b"x"), False),
+    "408 without Not-Executed": (answer(408, b"x"), False),
     "encoded": (answer(200, b"hello", HEAD + b"Content-Encoding: gzip\r\n"), False),
     "shorter than its length": (answer(200, b"hello").replace(b": 5", b": 9"), True),
     "chunks cut": (answer(200, CHUNKS + b"9\r\nab", CHUNKED, False), True),
@@ -74,38 +75,38 @@
     "too few results": (results(*ITEMS[:2]), False),
     "no results": (answer(200, b"{}"), False),
     "limited": (answer(200, b"hello", HEAD + limited(b"1.5")), False),
-    "limited, own failure": (answer(500, b"broken", HEAD + limited(b"2")), False),
+    "limited, server error": (answer(500, b"broken", HEAD + limited(b"2")), False),
     "limited, full": (answer(503, b"", NOT_EXECUTED + limited(b"0.3")), False),
     "limited results": (answer(200, RESULTS, limited(b"4")), False),
     "limited results full": (answer(503, b"", NOT_EXECUTED + limited(b"0.5")), False),
     "limited, replaced": (answer(421, b"", limited(b"1")), False),
     "limited, another id": (answer(200, b"x", NOT_ITS_ID + limited(b"1")), False),
-    "limited in words": (answer(200, b"hello", HEAD + limited(b"few")), False),
-    "limited to less than none": (answer(200, b"hello", HEAD + limited(b"-1")), False),
-    "limited to no number": (answer(200, b"hello", HEAD + limited(b"nan")), False),
+    "limit is a word": (answer(200, b"hello", HEAD + limited(b"few")), False),
+    "limit below zero": (answer(200, b"hello", HEAD + limited(b"-1")), False),
+    "limit is nan": (answer(200, b"hello", HEAD + limited(b"nan")), False),
     "results full": (answer(503, b"", NOT_EXECUTED), False),
     "leaving": (answer(200, b"hello", HEAD + LEAVING), False),
-    "leaving, own failure": (answer(500, b"broken", HEAD + LEAVING), False),
+    "leaving, server error": (answer(500, b"broken", HEAD + LEAVING), False),
     "leaving, full": (answer(503, b"", NOT_EXECUTED + LEAVING), False),
-    "leaving, 503 without a mark": (answer(503, b"x", HEAD + LEAVING), False),
+    "leaving, 503 without Not-Executed": (answer(503, b"x", HEAD + LEAVING), False),
     "leaving stream": (answer(200, CHUNKS + b"0\r\n\r\n", CHUNKED + LEAVING, False), False),
     "leaving results": (answer(200, RESULTS, LEAVING), False),
     "leaving results full": (answer(503, b"", NOT_EXECUTED + LEAVING), False),
     "leaving, replaced": (answer(421, b"", LEAVING), False),
     "leaving, another id": (answer(200, b"x", NOT_ITS_ID + LEAVING), False),
-    "leaving in words": (answer(200, b"hello", HEAD + b"Server-Leaving: soon\r\n"), False),
-    "rest of 3 s": (answer(503, b"", backoff(b"3")), False),
-    "rest of 0.25 s": (answer(503, b"", backoff(b"0.25")), False),
-    "rest with 429": (answer(429, b"", backoff(b"2")), False),
-    "rest without a mark": (answer(503, b"x", backoff(b"2", HEAD)), False),
-    "rest of results": (answer(503, b"", backoff(b"1.5")), False),
-    "rest of a day": (answer(503, b"", backoff(b"86400")), False),
-    "rest of 0 s": (answer(503, b"", backoff(b"0")), False),
-    "rest of less than 0 s": (answer(503, b"", backoff(b"-3")), False),
-    "rest of nan s": (answer(503, b"", backoff(b"nan")), False),
-    "rest of inf s": (answer(503, b"", backoff(b"inf")), False),
-    "rest up to a date": (answer(503, b"", backoff(b"Thu, 03 Dec 2026 10:00:00 GMT")), False),
-    "rest with an answer": (answer(200, b"hello", backoff(b"3", HEAD)), False),
-    "rest, replaced": (answer(421, b"", backoff(b"3")), False),
-    "rest, another id": (answer(503, b"x", backoff(b"3", NOT_ITS_ID)), False),
+    "leaving header is a word": (answer(200, b"hello", HEAD + b"Server-Leaving: soon\r\n"), False),
+    "back-off of 3 s": (answer(503, b"", backoff(b"3")), False),
+    "back-off of 0.25 s": (answer(503, b"", backoff(b"0.25")), False),
+    "back-off with 429": (answer(429, b"", backoff(b"2")), False),
+    "back-off without Not-Executed": (answer(503, b"x", backoff(b"2", HEAD)), False),
+    "back-off of results": (answer(503, b"", backoff(b"1.5")), False),
+    "back-off of a day": (answer(503, b"", backoff(b"86400")), False),
+    "back-off of 0 s": (answer(503, b"", backoff(b"0")), False),
+    "back-off of less than 0 s": (answer(503, b"", backoff(b"-3")), False),
+    "back-off of nan s": (answer(503, b"", backoff(b"nan")), False),
+    "back-off of inf s": (answer(503, b"", backoff(b"inf")), False),
+    "back-off until a date": (answer(503, b"", backoff(b"Thu, 03 Dec 2026 10:00:00 GMT")), False),
+    "back-off with status 200": (answer(200, b"hello", backoff(b"3", HEAD)), False),
+    "back-off, replaced": (answer(421, b"", backoff(b"3")), False),
+    "back-off, another id": (answer(503, b"x", backoff(b"3", NOT_ITS_ID)), False),
 }
--- a/features/readers.feature
+++ b/features/readers.feature
@@ -5,7 +5,7 @@
     And servers desk-1, desk-2 of service desk and llm-1, llm-2 of service llm
     And 1000 ms have gone by
 
-  Scenario: One instance of a small fleet follows the store, and all know what it reads
+  Scenario: One instance of a small fleet follows the store, and all get what it reads
     Then 1 instance follows the store
     When catalogue version 2 is written
     And server desk-1 is listed as draining
@@ -13,7 +13,7 @@
     Then every instance has catalogue version 2
     And every instance knows servers desk-2
 
-  Scenario: In a larger fleet one of each data centre follows the store
+  Scenario: In a larger fleet one instance of each data centre follows the store
     Given further instances a-3, a-4, a-5, a-6, b-3, b-4, b-5, b-6, b-7, b-8
     And 1500 ms have gone by
     Then 2 instances follow the store
@@ -21,7 +21,7 @@
     And 60 ms go by
     Then every instance has catalogue version 2
 
-  Scenario Outline: Another instance steps in before a leaving server must not be used any more
+  Scenario Outline: Another instance takes over before a draining server must be out of use
     Given the instance that follows the store <trouble>
     When catalogue version 2 is written
     And server desk-1 is listed as draining
@@ -30,43 +30,43 @@
     And every reachable instance knows servers desk-2
 
     Examples:
-      | trouble                            |
-      | is turned away by it               |
-      | has a feed that fell silent        |
-      | has ended                          |
-      | is cut off from its peers          |
+      | trouble                               |
+      | is refused by it                      |
+      | has a feed that is no longer answered |
+      | has crashed                           |
+      | is cut off from its peers             |
 
-  Scenario: The mutation with which nobody steps in is found
-    Given the product is changed so that nobody steps in for another
-    And the instance that follows the store has a feed that fell silent
+  Scenario: The mutation in which no other instance takes over is detected
+    Given the code is mutated so that no instance takes over
+    And the instance that follows the store has a feed that is no longer answered
     When catalogue version 2 is written
     And 1400 ms go by
     Then some reachable instance has catalogue version 1
 
-  Scenario: An instance that reaches nobody but the store follows it itself
+  Scenario: An instance that reaches the store but no peer follows the store itself
     Given instance b-2 is cut off from its peers
     When 1500 ms go by
     And catalogue version 2 is written
     And 100 ms go by
     Then every instance has catalogue version 2
 
-  Scenario: The first one takes over again once the store answers it
-    Given the instance that follows the store is turned away by it
+  Scenario: The first-ranked instance takes over again once the store answers it
+    Given the instance that follows the store is refused by it
     When 3000 ms go by
     Then 2 instances follow the store
     When the store answers that instance again
     And 2500 ms go by
     Then 1 instance follows the store
 
-  Scenario: While the store is away few instances call it
+  Scenario: While the store is down, few instances call it
     Given 24 further instances in data centre a
     And 1500 ms have gone by
     And the store is down
     When 2500 ms go by
     Then at most 12 instances follow the store
 
-  Scenario: A process that leaves hands the store on at once
-    Given the instance that follows the store is asked to end
+  Scenario: An instance that shuts down hands over at once
+    Given the instance that follows the store is asked to shut down
     When 100 ms go by
     Then 1 instance follows the store
     When 200 ms go by
@@ -75,8 +75,8 @@
     And 60 ms go by
     Then every reachable instance has catalogue version 2
 
-  Scenario: Shared work goes to the instances with many processor cores
+  Scenario: Instances with many processor cores become coordinators
     Given instance c-1 has 4 cores
     And further instances c-1
     And 1500 ms have gone by
-    Then pieces and prompts of services x, y, z, u, v and the store all meet on c-1
+    Then the coordinator of pieces and prompts of services x, y, z, u, v and of the store is c-1
--- a/features/restarts.feature
+++ b/features/restarts.feature
@@ -27,7 +27,7 @@
     Then every instance still has this state of llm-1
 
   Scenario: Instances learn of a restart from a peer when their feeds are silent
-    Given the change feeds of a-1 fall silent
+    Given the change feeds of a-1 stop delivering
     When server desk-1 is listed with a later start
     And 1500 ms go by
     Then instance a-1 knows the later start of desk-1
--- a/features/steps/document_steps.py
+++ b/features/steps/document_steps.py
@@ -1,8 +1,8 @@
-# document_steps.py -- Steps about documents, settings and the tables in docs
+# document_steps.py -- Steps about documents, settings and the tables in docs/
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about documents, settings and the tables in docs."""
+"""Steps about documents, settings and the tables in docs/."""
 
 import dataclasses
 from importlib import resources
@@ -106,7 +106,7 @@
     context.warnings = gather(context, lambda: checked(context.documents))
 
 
-@when('the example "{name}" is checked with a team selector nobody meets')
+@when('the example "{name}" is checked with a team selector that no server meets')
 def check_unmet(context, name):
     changed = [
         dataclasses.replace(one, selector="colour = red") if one.kind == "team" else one
--- a/features/steps/era_steps.py
+++ b/features/steps/era_steps.py
@@ -1,8 +1,8 @@
-# era_steps.py -- Steps about a store that comes back from an older copy
+# era_steps.py -- Steps about a store that is restored from an older copy
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about a store that comes back from an older copy."""
+"""Steps about a store that is restored from an older copy."""
 
 import base64
 import json
@@ -17,14 +17,14 @@
 NEW_START = 77
 
 
-@when("server {name} starts again")
+@when("server {name} restarts")
 def new_start(context, name):
-    # The start counts its entries anew.
+    # The sequence numbers of its entries start from 0 again.
     context.fleet.sequences[name] = 0
     context.fleet.add_server(name, "desk", "a", born=NEW_START)
 
 
-@then("every instance knows server {name} by its new start")
+@then("every instance knows server {name} with its new start time")
 def knows_start(context, name):
     for instance in context.fleet.instances.values():
         found = instance.directory.available("desk")
@@ -32,13 +32,13 @@
         assert names == {f"{name}@{NEW_START}"}, names
 
 
-@when("{number:d} rows that name no server are written")
+@when("{number:d} unreadable rows are written to the list")
 def other_rows(context, number):
     for n in range(number):
         context.fleet.servers.put(f"other-{n}", b"nonsense")
 
 
-@when("instance {name} reaches neither the store nor the others")
+@when("instance {name} reaches neither the store nor its peers")
 def isolated(context, name):
     instance = context.fleet.instances[name]
     context.kept = [
@@ -53,12 +53,12 @@
             context.fleet.network.cut_instances.add(frozenset({name, other}))
 
 
-@when("instance {name} reaches the others once more")
+@when("instance {name} reaches its peers again")
 def reaches_again(context, name):
     context.fleet.network.cut_instances.clear()
 
 
-@when("the announcements of instances are watched")
+@when("announcements of instances are recorded")
 def watch(context):
     plain = context.fleet.instance_list.announce
     context.announced = []
@@ -70,13 +70,13 @@
     context.fleet.instance_list.announce = announce
 
 
-@then("the store knows every instance")
+@then("the store lists every instance")
 def all_listed(context):
     listed = {one.name for one in context.fleet.instance_list.instances()}
     assert listed == set(context.fleet.instances), set(context.fleet.instances) - listed
 
 
-@then("at most {number:d} instances made themselves known within any {ms:d} ms")
+@then("at most {number:d} instances are announced within any {ms:d} ms")
 def spread(context, number, ms):
     times = [at for at, _ in context.announced]
     assert times
@@ -84,19 +84,19 @@
     assert most <= number, most
 
 
-@then("no instance did so more than once")
+@then("no instance is announced more than once")
 def once(context):
     names = [name for _, name in context.announced]
     assert len(names) == len(set(names)), names
 
 
-@then("no instance made itself known again")
+@then("no instance is announced again")
 def none_again(context):
     assert not context.announced, context.announced
 
 
 class StoreAnswers:
-    """Stands for calls to the store; its era and rows can be changed."""
+    """Fake HTTP client of the store, whose era rises after a given call."""
 
     def __init__(self, era):
         self.era = era
@@ -129,33 +129,33 @@
     assert {one.position.era for one in page.rows} | {page.position.era} == {era}
 
 
-@when("it comes back older")
+@when("the store over HTTP is restored from an older copy")
 def http_older(context):
     context.answers.era += 1
 
 
-@then("reading on from there is refused, and its rows are of era {era:d}")
+@then("changes since that position are refused, and its rows are of era {era:d}")
 def reading_on(context, era):
     try:
         context.store_table.changes(context.position, 10.0)
     except HistoryLostError as error:
         assert error.after == context.position
     else:
-        raise AssertionError("changes of another history were taken")
+        raise AssertionError("changes of another era were accepted")
     of_era(context, era)
 
 
-@given("a store over HTTP that comes back older between two pages")
+@given("a store over HTTP that is restored between two pages of a read")
 def between_pages(context):
     http_store(context, 1)
     context.answers.pages, context.answers.rises_after = 2, 1
 
 
-@then("the reading is refused, and the next one is of one era")
+@then("the read is refused, and the next one returns rows of one era")
 def refused_once(context):
     try:
         context.store_table.read()
     except HistoryLostError:
         of_era(context, 2)
     else:
-        raise AssertionError("rows of two eras were taken as one reading")
+        raise AssertionError("rows of two eras were returned by one read")
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -1,8 +1,8 @@
-# fuzz_steps.py -- Steps that put in anything at all
+# fuzz_steps.py -- Steps that feed generated input to every reader
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps that put in anything at all."""
+"""Steps that feed generated input to every reader."""
 
 import json
 
@@ -104,7 +104,7 @@
 
 
 def reads(input_):
-    """The strategy for one kind of input and what reads it."""
+    """Return the strategy that generates a kind of input, and the function that reads it."""
     simple = {
         "settings": (TOML, lambda text: Settings.read(text, "x")),
         "documents": (TOML, lambda text: parse_documents(text, "x")),
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -86,12 +86,12 @@
     return post(context, name, "/v1/pipelines/reply", body, headers, **more)
 
 
-@when("a stream of {tokens:d} tokens is asked of {name}")
+@when("a stream of {tokens:d} tokens is requested from {name}")
 def stream(context, tokens, name):
     context.response = ask_stream(context, name, tokens)
 
 
-@then("it holds tokens 1 to {last:d} and ends with the event done")
+@then("the stream holds tokens 1 to {last:d} and ends with the event done")
 def whole_stream(context, last):
     events = context.response.data.split(b"\n\n")
     ids = [int(one.split(b"\n")[0][4:]) for one in events if one.startswith(b"id: ")]
@@ -99,20 +99,20 @@
     assert events[-2].startswith(b"event: done\n") and events[-1] == b""
 
 
-@when("a whole answer is asked of {name}")
+@when("a complete answer is requested from {name}")
 def ask_whole(context, name):
     body = json.dumps({"input": {"tokens": 3}})
     context.response = post(context, name, "/v1/pipelines/reply", body)
 
 
-@then("it names a server and a time for stages {names}")
+@then("the answer names a server and a time for stages {names}")
 def names_stages(context, names):
     table = json.loads(context.response.data)
     assert [one["stage"] for one in table["stages"]] == names.split(", "), table
     assert all(one["server"] and one["ms"] > 0 for one in table["stages"])
 
 
-@when("a caller leaves a-1 after 2 of {tokens:d} tokens")
+@when("a caller disconnects from a-1 after 2 of {tokens:d} tokens")
 def leave(context, tokens):
     response = ask_stream(context, "a-1", tokens, preload_content=False)
     data = b""
@@ -135,7 +135,7 @@
         standin.faults = Faults(slow_ms=float(ms))
 
 
-@when('a push with key "{key}" is sent to a-1 and left at once')
+@when('a push with key "{key}" is sent to a-1 and its caller disconnects')
 def leave_push(context, key):
     host, _, port = web(context).rpartition(":")
     body = b'{"input": 7}'
@@ -193,12 +193,12 @@
     context.response = task.get()
 
 
-@then("a-1 cut {number:d} requests")
+@then("a-1 aborted {number:d} requests")
 def cut(context, number):
     assert context.cut == number
 
 
-@when("a peer with another key connects to a-1")
+@when("a peer with another secret connects to a-1")
 def stranger(context):
     me = Instance("stranger", "0", "a", "", "")
     link = TcpNetwork(b"another secret, not the fleet's").connect(
@@ -247,7 +247,7 @@
     assert context.answer["class"] == "done", context.answer
 
 
-@given("a-1 drops callers that are silent for {ms:d} ms and has small buffers")
+@given("a-1 drops callers that make no progress for {ms:d} ms and has small buffers")
 def small_buffers(context, ms):
     context.stack.enter_context(patch.object(Connection, "timeout_seconds", ms / 1000.0))
     listening = context.fleet.nodes[0].web.socket
@@ -271,7 +271,7 @@
     eventually(context, lambda: context.fleet.nodes[0].admission.total == 1)
 
 
-@then("its place at a-1 is free again and the call is cancelled at its server")
+@then("it is no longer admitted at a-1 and the call is cancelled at its server")
 def place_free(context):
     eventually(context, lambda: context.fleet.nodes[0].admission.total == 0)
     cancelled(context)
--- a/features/steps/ingress_steps.py
+++ b/features/steps/ingress_steps.py
@@ -118,7 +118,7 @@
         context.received = read_all(connection)
 
 
-@when("a caller sends a request and leaves")
+@when("a caller sends a request and disconnects")
 def leave(context):
     with socket.create_connection(context.address) as connection:
         connection.sendall(SENT["a request"])
@@ -157,18 +157,18 @@
     assert [one.id for one in context.forwarder.requests] == ["r1", "r2"]
 
 
-@then("the answer is cut behind its first event")
+@then("the answer is cut after its first event")
 def cut(context):
     assert b"id: 1\n\n" in context.received
     assert not context.received.endswith(b"0\r\n\r\n"), context.received
 
 
-@then("the work on it ends within {ms:d} ms")
+@then("the work on it is cancelled within {ms:d} ms")
 def work_ends(context, ms):
     assert context.forwarder.ended.wait(ms / 1000)
 
 
-@then("it gets status {status:d}, Retry-After {seconds} and no signature")
+@then("it gets status {status:d}, Retry-After {seconds} and no server stamp")
 def refusal(context, status, seconds):
     assert status_of(context.received) == status
     assert f"Retry-After: {seconds}\r\n".encode() in context.received
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -1,8 +1,8 @@
-# knowledge_steps.py -- Steps about what instances know
+# knowledge_steps.py -- Steps about the catalogue and the list of servers on instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about what instances know."""
+"""Steps about the catalogue and the list of servers on instances."""
 
 from behave import given, then, when
 from forwardbasics import catalogue
@@ -25,7 +25,7 @@
     instance.catalogue_source.source = twin
 
 
-@given("the change feeds of {name} fall silent")
+@given("the change feeds of {name} stop delivering")
 def silent(context, name):
     instance = context.fleet.instances[name]
     for source in (instance.catalogue_source, instance.directory_source):
@@ -47,7 +47,7 @@
     context.fleet.catalogue.put(CATALOGUE, text.encode())
 
 
-@when("an older catalogue {version:d} comes to {name} from a peer")
+@when("an older catalogue {version:d} reaches {name} from a peer")
 def old_from_peer(context, version, name):
     context.fleet.catalogues[version] = catalogue(version)
     instance = context.fleet.instances[name]
@@ -56,7 +56,7 @@
         context.run(instance.fleet.handle, part, link)
 
 
-@when("an older catalogue {version:d} comes to {name} from the store")
+@when("an older catalogue {version:d} reaches {name} from the store")
 def old_from_store(context, version, name):
     context.fleet.catalogues[version] = catalogue(version)
     row = SourceRow(CATALOGUE, str(version).encode(), Position(0, 1))
@@ -64,7 +64,7 @@
     context.fleet.instances[name].catalogue_source.on_page(page, True)
 
 
-@when("an older catalogue {version:d} comes to {name} after the store lost its history")
+@when("an older catalogue {version:d} reaches {name} after the store lost its history")
 def old_after_loss(context, version, name):
     context.fleet.catalogues[version] = catalogue(version)
     source = context.fleet.catalogue
@@ -75,7 +75,7 @@
     context.run(context.clock.sleep, 10_000.0)
 
 
-@given("the product is changed so that it adopts any catalogue")
+@given("the code is mutated to adopt any catalogue")
 def adopts_any(context):
     plain = CatalogueFollower.adopt
 
@@ -126,7 +126,7 @@
     assert sorted(one.name for one in found) == names.split(", "), found
 
 
-@when("an older copy of the list comes to {name}")
+@when("an older copy of the list reaches {name}")
 def old_copy(context, name):
     instance = context.fleet.instances[name]
     link = next(iter(instance.fleet.links.values()))
@@ -146,7 +146,7 @@
     source.down = False
 
 
-@when("a copy comes to {name} from a peer that regained the store and saw {server} removed")
+@when("a copy reaches {name} from a peer that reached the store again and saw {server} removed")
 def lapsed_copy(context, name, server):
     instance = context.fleet.instances[name]
     link = next(iter(instance.fleet.links.values()))
@@ -155,14 +155,14 @@
     context.run(instance.fleet.handle, copy, link)
 
 
-@then("each instance's part of the reserve of {reserve:d} is at most {most:g}")
+@then("each instance's share of the retry reserve of {reserve:d} is at most {most:g}")
 def part_of_reserve(context, reserve, most):
     for instance in context.fleet.instances.values():
         assert instance.settings.retry_reserve == reserve
         assert 0 < instance.budgets.reserve() <= most, instance.budgets.reserve()
 
 
-@then("an instance that knows no others takes at most {most:g} of it")
+@then("an instance that knows no others uses at most {most:g} of it")
 def knows_none(context, most):
     instance = context.fleet.instances["a-1"]
     instance.membership.known.clear()
--- a/features/steps/line_steps.py
+++ b/features/steps/line_steps.py
@@ -1,8 +1,8 @@
-# line_steps.py -- Steps about the log lines of a request
+# line_steps.py -- Steps about the commands that read log lines of requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about the log lines of a request."""
+"""Steps about the commands that read log lines of requests."""
 
 import json
 import tempfile
@@ -32,7 +32,7 @@
         context.files.append(str(path))
 
 
-@when("the lines of {request} are asked for")
+@when("the log lines of {request} are requested")
 def ask(context, request):
     context.result = CliRunner().invoke(main, ["lines", request, *context.files])
 
@@ -54,7 +54,7 @@
     assert request in context.result.output
 
 
-# Each request as its lines: the time since it was received in seconds, the type, the fields.
+# Log lines of each request: seconds since it was received, type of the line, fields.
 TRACES = {
     "quick": [(0.2, "sent", {"server": "s1"}), (0.5, "ended", {"code": 0, "elapsed_ms": 500})],
     "staged": [
@@ -71,8 +71,8 @@
         (1.4, "first-event", {"elapsed_ms": 1_400}),
         (2.0, "ended", {"code": 0, "elapsed_ms": 2_000}),
     ],
-    "door": [(0.0, "ended", {"code": 2001, "reason": "expected 1200 ms, aim 1000 ms"})],
-    "back": [(0.0, "ended", {"code": 2001, "reason": "expected 1300 ms, aim 1000 ms"})],
+    "door": [(0.0, "ended", {"code": 2001, "reason": "expected 1200 ms, latency target 1000 ms"})],
+    "back": [(0.0, "ended", {"code": 2001, "reason": "expected 1300 ms, latency target 1000 ms"})],
     "left": [(0.0, "let-in", {}), (4.0, "ended", {"code": 3007, "elapsed_ms": 4_000})],
     "failed": [(0.0, "sent", {"server": "s3"}), (1.0, "ended", {"code": 3003})],
     "unended": [(0.0, "let-in", {}), (0.4, "pieces-late", {"service": "encode"})],
@@ -88,7 +88,7 @@
 }
 
 
-@given("logs of a route with an aim of {aim:d} ms")
+@given("logs of a route with a latency target of {aim:d} ms")
 def traced(context, aim):
     folder = Path(context.stack.enter_context(tempfile.TemporaryDirectory()))
     rows = []
@@ -101,7 +101,7 @@
     context.path.write_text("\n".join(json.dumps(one) for one in reversed(rows)))
 
 
-@when("the account of the logs is asked for")
+@when("the account of the logs is requested")
 def ask_account(context):
     plain = CliRunner().invoke(main, ["account", str(context.path)])
     assert plain.exit_code == 0, plain.output
@@ -120,7 +120,7 @@
     assert found == numbers, found
 
 
-@then("the station of each that was not on time is named")
+@then("the station of each request that was not on time is named")
 def stations(context):
     for request, trace in context.traces.items():
         assert trace["station"] == STATIONS.get(request, ""), (request, trace)
--- a/features/steps/member_steps.py
+++ b/features/steps/member_steps.py
@@ -1,8 +1,8 @@
-# member_steps.py -- Steps about how instances learn of each other
+# member_steps.py -- Steps about the list of instances that each instance knows
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about how instances learn of each other."""
+"""Steps about the list of instances that each instance knows."""
 
 from behave import given, then, when
 
@@ -52,7 +52,7 @@
     assert known == set(context.fleet.instances) - {"c-new"}, known
 
 
-@given("the platform's list has an instance d-1 that nobody has heard of")
+@given("the platform's list has an instance d-1 that no instance knows")
 def listed(context):
     context.fleet.instance_list.announce(Instance("d-1", "d1", "d", "", "d-1", cores=1.0, since=0))
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,8 +1,8 @@
-# platform_steps.py -- Steps about the adapter's calls to servers and the store
+# platform_steps.py -- Steps about the adapter's calls to backend servers and the store
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about the adapter's calls to servers and the store."""
+"""Steps about the adapter's calls to backend servers and the store."""
 
 import base64
 import json
@@ -44,7 +44,7 @@
 
 
 def read_one(connection, rest):
-    """Return the head and body of the next request, and what follows it."""
+    """Return the head and body of the next request (None at the end), and the bytes after it."""
     while b"\r\n\r\n" not in rest:
         data = connection.recv(65_536)
         if not data:
@@ -108,7 +108,7 @@
     make_upstream(context, address)
 
 
-@given('a backend server that answers "{name}", of which {number:d} connections may be kept')
+@given('a backend server that answers "{name}", with a connection share of {number:d}')
 def backend_part(context, name, number):
     backend(context, name)
     context.upstream.connection_share = lambda server: number
@@ -119,13 +119,13 @@
     gevent.joinall([gevent.spawn(send, context, f"r{n}") for n in range(number)])
 
 
-@then("{number:d} connections to it are kept")
+@then("{number:d} idle connections to it are kept")
 def kept(context, number):
     assert context.connections == len(context.ended) == 8
     assert len(context.upstream.pool.idle[context.server.address]) == number
 
 
-@given("a backend server that is not there")
+@given("a backend server whose port is closed")
 def nobody(context):
     listening = socket.socket()
     listening.bind(("127.0.0.1", 0))
@@ -172,25 +172,27 @@
     send(context, id_)
 
 
-@then("{heard} is heard of its limit")
-def limit_heard(context, heard):
-    named = {"nothing": [], "no limit": [UNLIMITED]}
-    expected = named[heard] if heard in named else [float(heard.split()[0])]
+@then("its rate limit notices are {notices}")
+def limit_heard(context, notices):
+    named = {"none": [], "unlimited": [UNLIMITED]}
+    expected = named[notices] if notices in named else [float(notices.split()[0])]
     limits = [one.per_s for one in heard_of(context, RateLimit)]
     assert limits == expected, context.heard
 
 
 def heard_of(context, kind):
-    """Return what was heard of one kind."""
+    """Return the notices of one kind that were reported."""
     return [one for notices in context.heard for one in notices if isinstance(one, kind)]
 
 
-@then("it is heard that the server {what}")
-def leaving_heard(context, what):
-    expected = {"leaves": ([Leaving()], []), "neither leaves nor wants rest": ([], [])}
-    rest = [BackOff(1000.0 * float(what.split()[-2]))] if what.startswith("wants rest for") else []
+@then("its leaving and back-off notices are {notices}")
+def leaving_heard(context, notices):
+    expected = {"leaving": ([Leaving()], []), "none": ([], [])}
+    rest = (
+        [BackOff(1000.0 * float(notices.split()[-2]))] if notices.startswith("back-off for") else []
+    )
     heard = (heard_of(context, Leaving), heard_of(context, BackOff))
-    assert heard == expected.get(what, ([], rest)), context.heard
+    assert heard == expected.get(notices, ([], rest)), context.heard
 
 
 @when("requests {first} and {second} are sent to it")
@@ -248,7 +250,7 @@
     send(context, "r1", headers=headers, body=b"\0\xffbody")
 
 
-@then("the server got the request unchanged with the system's own headers in their place")
+@then("the server gets the same request, with the instance's headers in place of forged ones")
 def got(context):
     ((head, body),) = context.got
     lines = head.decode().split("\r\n")
@@ -273,18 +275,18 @@
     assert "forged" not in head.decode()
 
 
-@when("a caller without a team claims one")
+@when("a caller without a team sends a forged team")
 def claims_team(context):
     send(context, "r1", headers=(("Mountladder-Tenant", "forged"),), team="")
 
 
-@then("the server is told of no team")
+@then("the server gets no team")
 def no_team(context):
     ((head, _),) = context.got
     assert b"tenant" not in head.lower() and b"forged" not in head
 
 
-@when("a call is sent to it")
+@when("a stage call is sent to it")
 @when("three pieces are sent to it")
 def pieces(context):
     now = context.upstream.clock.now()
@@ -339,7 +341,7 @@
     context.catalogue = decode_catalogue(json.dumps(CONFIGURATION).encode())
 
 
-@then("its routes, services, teams and limits are those of the product")
+@then("its routes, services, teams and limits match its text")
 def decoded(context):
     found = context.catalogue
     assert (found.version, found.requires_key) == (7, True)
@@ -380,7 +382,7 @@
 STORE = {
     "a change": (200, row(key="k", value=base64.b64encode(b"v").decode(), ver=7)),
     "a removal": (200, row(key="k", removed=True, ver=8)),
-    "forgotten history": (410, b"{}"),
+    "lost history": (410, b"{}"),
     "busy": (503, b""),
     "too many calls": (429, b""),
 }
@@ -429,12 +431,12 @@
     assert (one.value, one.position) == (None, Position(0, version))
 
 
-@then("the history is said to be lost")
+@then("the history is reported as lost")
 def lost(context):
     assert isinstance(context.error, HistoryLostError) and context.error.after == Position(0, 5)
 
 
-@then("the store is said to be unavailable")
+@then("the store is reported as unavailable")
 def unavailable(context):
     assert isinstance(context.error, StoreUnavailableError), context.error
 
@@ -461,7 +463,7 @@
     context.lines = number
 
 
-@then("that took at most {ms:d} ms and the lines that found no room are counted")
+@then("that took at most {ms:d} ms and the dropped lines are counted")
 def took(context, ms):
     assert context.took_ms <= ms, context.took_ms
     dropped = context.metrics.counts["dropped_lines"]
@@ -469,7 +471,7 @@
     assert len(context.queue.lines) <= MAX_LINES
 
 
-@then("what is read says how many were dropped")
+@then("the log's output reports how many were dropped")
 def says(context):
     dropped = context.metrics.counts["dropped_lines"]
     text = b""
--- a/features/steps/reader_steps.py
+++ b/features/steps/reader_steps.py
@@ -54,7 +54,7 @@
     context.fleet.cores[name] = cores
 
 
-@given("the instance that follows the store is turned away by it")
+@given("the instance that follows the store is refused by it")
 def turned_away(context):
     context.reader = first_reader(context)
     instance = context.fleet.instances[context.reader]
@@ -71,7 +71,7 @@
         source.source = table
 
 
-@given("the instance that follows the store has a feed that fell silent")
+@given("the instance that follows the store has a feed that is no longer answered")
 def fell_silent(context):
     instance = context.fleet.instances[first_reader(context)]
 
@@ -79,11 +79,11 @@
         twin = type(context.fleet.catalogue)(context.clock)
         twin.silent = True
         source.source = twin
-    # The calls under way are still answered.
+    # Calls in flight are still answered by the table that was replaced.
     context.run(context.clock.sleep, instance.settings.feed_wait_ms + 20.0)
 
 
-@given("the instance that follows the store has ended")
+@given("the instance that follows the store has crashed")
 def has_ended(context):
     name = first_reader(context)
     context.ended.add(name)
@@ -98,14 +98,14 @@
             context.fleet.network.cut_instances.add(frozenset({name, other}))
 
 
-@given("the instance that follows the store is asked to end")
+@given("the instance that follows the store is asked to shut down")
 def asked_to_end(context):
     name = first_reader(context)
     context.ended.add(name)
     context.run(context.fleet.instances[name].leave)
 
 
-@given("the product is changed so that nobody steps in for another")
+@given("the code is mutated so that no instance takes over")
 def nobody_steps_in(context):
     plain = ReaderElection.decide
     ReaderElection.decide = lambda self: not self.higher_ranked()
@@ -144,8 +144,8 @@
         assert found == names.split(", "), (one.settings.name, found)
 
 
-@then("pieces and prompts of services {names} and the store all meet on {home}")
-def all_meet(context, names, home):
+@then("the coordinator of pieces and prompts of services {names} and of the store is {coordinator}")
+def all_meet(context, names, coordinator):
     for name, one in context.fleet.instances.items():
         for topic in (*names.split(", "), STORE_TOPIC):
-            assert one.fleet.ranking.ranked(topic)[0].name == home, (name, topic)
+            assert one.fleet.ranking.ranked(topic)[0].name == coordinator, (name, topic)
