--- a/features/rawanswers.py
+++ b/features/rawanswers.py
@@ -4,10 +4,10 @@
 
 """Raw HTTP answers of backend servers, valid and malformed."""
 
-SILENCE = object()
+NO_ANSWER = object()
 CLOSED = object()
 RESET = "reset"
-LATER = "later"
+REPEATED_LATER = "later"
 HEAD = b"Mountladder-Request-Id: @ID\r\nMountladder-Server-Stamp: s\r\n"
 NOT_EXECUTED = b"Mountladder-Not-Executed: 1\r\n"
 
@@ -38,22 +38,22 @@
 LEAVING = b"Server-Leaving: 1\r\n"
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n"
 CHUNKS = b"2\r\nhe\r\n3\r\nllo\r\n"
-NOT_ITS_ID = b"Mountladder-Request-Id: zz\r\n"
+OTHER_ID = b"Mountladder-Request-Id: zz\r\n"
 ITEMS = (b'{"handle": "10.0.0.1:1/a"}', b'{"reason": "gone"}', b'{"reason": "room"}')
 
 RESULTS = items_body(*ITEMS)
 
 # Answers by name: (bytes, end). After the bytes the server keeps the connection (end False), closes
-# it (True), resets it (RESET) or sends the bytes again 20 ms later (LATER). With SILENCE it sends
-# nothing for 2 s, then closes; with CLOSED it closes at once. @ID is replaced by the id of the
-# request.
+# it (True), resets it (RESET) or sends the bytes again 20 ms later (REPEATED_LATER). With NO_ANSWER
+# it sends nothing for 2 s, then closes; with CLOSED it closes at once. @ID is replaced by the id of
+# the request.
 ANSWERS = {
     "whole": (answer(200, b"hello"), False),
     "whole and closing": (answer(200, b"hello", HEAD + b"Connection: close\r\n"), True),
     "chunked": (answer(200, CHUNKS + b"0\r\n\r\n", CHUNKED, False), False),
     "no length": (answer(200, b"hello", length=False), True),
     "server error": (answer(500, b"broken"), False),
-    "another id": (answer(200, b"hello", NOT_ITS_ID), False),
+    "another id": (answer(200, b"hello", OTHER_ID), False),
     "no id": (answer(200, b"hello", b""), False),
     "full, not run": (answer(503, b"", NOT_EXECUTED), False),
     "leaving, not run": (answer(503, b"", NOT_EXECUTED + b"Connection: close\r\n"), True),
@@ -68,9 +68,9 @@
     "garbage": (b"\0\1\2\3 not an answer\r\n\r\n", True),
     "closed": CLOSED,
     "reset without length": (answer(200, b"hello", length=False), RESET),
-    "silence": SILENCE,
+    "silence": NO_ANSWER,
     "extra bytes at once": (answer(200, b"hello") + answer(200, b"extra"), False),
-    "extra bytes later": (answer(200, b"hello"), LATER),
+    "extra bytes later": (answer(200, b"hello"), REPEATED_LATER),
     "results": (results(*ITEMS), False),
     "too few results": (results(*ITEMS[:2]), False),
     "no results": (answer(200, b"{}"), False),
@@ -80,7 +80,7 @@
     "limited results": (answer(200, RESULTS, limited(b"4")), False),
     "limited results full": (answer(503, b"", NOT_EXECUTED + limited(b"0.5")), False),
     "limited, replaced": (answer(421, b"", limited(b"1")), False),
-    "limited, another id": (answer(200, b"x", NOT_ITS_ID + limited(b"1")), False),
+    "limited, another id": (answer(200, b"x", OTHER_ID + limited(b"1")), False),
     "limit is a word": (answer(200, b"hello", HEAD + limited(b"few")), False),
     "limit below zero": (answer(200, b"hello", HEAD + limited(b"-1")), False),
     "limit is nan": (answer(200, b"hello", HEAD + limited(b"nan")), False),
@@ -93,7 +93,7 @@
     "leaving results": (answer(200, RESULTS, LEAVING), False),
     "leaving results full": (answer(503, b"", NOT_EXECUTED + LEAVING), False),
     "leaving, replaced": (answer(421, b"", LEAVING), False),
-    "leaving, another id": (answer(200, b"x", NOT_ITS_ID + LEAVING), False),
+    "leaving, another id": (answer(200, b"x", OTHER_ID + LEAVING), False),
     "leaving header is a word": (answer(200, b"hello", HEAD + b"Server-Leaving: soon\r\n"), False),
     "back-off of 3 s": (answer(503, b"", backoff(b"3")), False),
     "back-off of 0.25 s": (answer(503, b"", backoff(b"0.25")), False),
@@ -108,5 +108,5 @@
     "back-off until a date": (answer(503, b"", backoff(b"Thu, 03 Dec 2026 10:00:00 GMT")), False),
     "back-off with status 200": (answer(200, b"hello", backoff(b"3", HEAD)), False),
     "back-off, replaced": (answer(421, b"", backoff(b"3")), False),
-    "back-off, another id": (answer(503, b"x", backoff(b"3", NOT_ITS_ID)), False),
+    "back-off, another id": (answer(503, b"x", backoff(b"3", OTHER_ID)), False),
 }
--- a/features/steps/document_steps.py
+++ b/features/steps/document_steps.py
@@ -53,11 +53,11 @@
 """
 
 
-def toml(text):
+def toml_lines(text):
     return text.replace(" ; ", "\n").replace("]] ", "]]\n")
 
 
-def gather(context, function):
+def collect_faults(context, function):
     context.faults = []
     try:
         return function()
@@ -66,33 +66,33 @@
     return None
 
 
-def checked(documents):
+def check_documents(documents):
     change = Change(1, "o", "a", 0.0, tuple(documents), ())
     return check(Configuration().after(change))
 
 
 @when("the documents {text} are read")
 def read(context, text):
-    gather(context, lambda: parse_documents(toml(text), "file.toml"))
+    collect_faults(context, lambda: parse_documents(toml_lines(text), "file.toml"))
 
 
 @when("the documents {text} are checked")
 def read_and_check(context, text):
-    gather(context, lambda: checked(parse_documents(toml(text), "file.toml")))
+    collect_faults(context, lambda: check_documents(parse_documents(toml_lines(text), "file.toml")))
 
 
 @then("the faults are {codes} and name {word}")
-def faults(context, codes, word):
+def faults_are(context, codes, word):
     found = [error.code.number for error in context.faults]
     assert found == [int(code) for code in codes.split()], context.faults
     assert any(word in str(error) for error in context.faults), context.faults
 
 
 @then('the selector "{text}" is {verb} by the labels {labels}')
-def selector(context, text, verb, labels):
-    pairs = dict(pair.split("=") for pair in labels.split(","))
-    written = "" if text == "(empty)" else text
-    assert Selector.parse(written).meets(pairs) == (verb == "met")
+def selector_meets(context, text, verb, labels):
+    label_values = dict(pair.split("=") for pair in labels.split(","))
+    source = "" if text == "(empty)" else text
+    assert Selector.parse(source).meets(label_values) == (verb == "met")
 
 
 def example(name):
@@ -103,7 +103,7 @@
 @when('the example "{name}" is checked')
 def check_example(context, name):
     context.documents = example(name)
-    context.warnings = gather(context, lambda: checked(context.documents))
+    context.warnings = collect_faults(context, lambda: check_documents(context.documents))
 
 
 @when('the example "{name}" is checked with a team selector that no server meets')
@@ -112,11 +112,11 @@
         dataclasses.replace(one, selector="colour = red") if one.kind == "team" else one
         for one in example(name)
     ]
-    context.warnings = gather(context, lambda: checked(changed))
+    context.warnings = collect_faults(context, lambda: check_documents(changed))
 
 
 @then("the warnings are all {code:d}")
-def warnings(context, code):
+def warnings_are(context, code):
     assert context.warnings and {one.code.number for one in context.warnings} == {code}
 
 
@@ -126,17 +126,17 @@
 
 
 @then("it holds {servers:d} backend servers and {teams:d} teams")
-def sizes(context, servers, teams):
+def document_counts(context, servers, teams):
     kinds = [one.kind for one in context.documents]
     assert (kinds.count("server"), kinds.count("team")) == (servers, teams)
 
 
 @when("settings with six faults are read")
 def bad_settings(context):
-    gather(context, lambda: Settings.read(BAD_SETTINGS, "settings.toml"))
+    collect_faults(context, lambda: Settings.read(BAD_SETTINGS, "settings.toml"))
 
 
-def rows(name):
+def table_rows(name):
     lines = (DOCS / name).read_text().splitlines()
     table = [line for line in lines if line.startswith("|")]
     return [[cell.strip(" `") for cell in line.strip("|").split("|")] for line in table[2:]]
@@ -148,23 +148,23 @@
         [str(one.number), one.name.lower(), one.result.value, str(one.status), one.meaning]
         for one in Code
     ]
-    assert rows("RESULT-CODES.md") == expected
+    assert table_rows("RESULT-CODES.md") == expected
 
 
 @then("docs/METRICS.md lists each metric with its type")
 def metrics_listed(context):
-    assert rows("METRICS.md") == [[one.label, one.type, one.meaning] for one in Metric]
+    assert table_rows("METRICS.md") == [[one.label, one.type, one.meaning] for one in Metric]
 
 
 @then("docs/SETTINGS.md lists each setting")
 def settings_listed(context):
     own = [field.name for field in dataclasses.fields(Settings)]
     forwarding = [field.name for field in dataclasses.fields(ForwardingSettings)]
-    assert [row[0] for row in rows("SETTINGS.md")] == [*own, "key", "---", *forwarding]
+    assert [row[0] for row in table_rows("SETTINGS.md")] == [*own, "key", "---", *forwarding]
 
 
 @then("the template of the platform's settings names each of them once")
-def template(context):
+def template_complete(context):
     text = (DOCS.parent / "platform" / "settings.toml").read_text()
     keys = [line.partition(" = ")[0] for line in text.splitlines() if " = " in line]
     assert keys == [field.name for field in dataclasses.fields(ForwardingSettings)]
@@ -172,4 +172,4 @@
 
 @when("forwarding settings with a missing, a wrong and an unknown key are read")
 def bad_forwarding(context):
-    gather(context, lambda: ForwardingSettings.read(BAD_FORWARDING, "settings.toml"))
+    collect_faults(context, lambda: ForwardingSettings.read(BAD_FORWARDING, "settings.toml"))
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -29,34 +29,36 @@
 from mountladder_standins.faults import Faults
 from mountladder_standins.localfleet import LocalFleet
 
-EXAMPLES = 150
+MAX_EXAMPLES = 150
 WORDS = [
     "name", "kind", "revision", "operation", "author", "at_ms", "puts", "deletes", "documents",
     "key", "nonce", "state", "answer", "code", "fence", "stage", "request", "tokens", "result",
     "stages", "fail", "down", "slow_ms", "labels", "work", "server", "team", "pipeline", "model",
 ]  # fmt: skip
-JSON = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=4)
     | st.dictionaries(st.sampled_from(WORDS) | st.text(max_size=4), inner, max_size=5),
     max_leaves=12,
 )
-LEAF = st.sampled_from([0, 1, -1, 1.5, float("inf"), "", "x", None, True, [], [[]], {}])
+JSON_LEAVES = st.sampled_from([0, 1, -1, 1.5, float("inf"), "", "x", None, True, [], [[]], {}])
 
 
-def rows(*keys):
-    whole = st.fixed_dictionaries(dict.fromkeys(keys, LEAF | JSON))
-    return st.binary(max_size=60) | (JSON | whole).map(lambda value: json.dumps(value).encode())
+def json_rows(*keys):
+    whole = st.fixed_dictionaries(dict.fromkeys(keys, JSON_LEAVES | JSON_VALUES))
+    return st.binary(max_size=60) | (JSON_VALUES | whole).map(
+        lambda value: json.dumps(value).encode()
+    )
 
 
-TOML = st.text(max_size=60) | st.lists(
+TOML_TEXTS = st.text(max_size=60) | st.lists(
     st.sampled_from(
         ["[[server]]", "[[team]]", "[[pipeline]]", "[[pipeline.stage]]", 'name = "a"', "share = -1"]
         + ['work = "encode"', "slots = 1e400", "labels = 3", "x = {}", 'after = ["a"]', "stage = 1"]
     ),
     max_size=8,
 ).map("\n".join)
-EVENTS = st.lists(
+EVENT_PIECES = st.lists(
     st.binary(max_size=20)
     | st.sampled_from(
         [b'id: 1\ndata: "a"\n\n', b'id: 2\ndata: "b"\n\n', b'event: done\ndata: {"tokens":1}\n\n']
@@ -66,71 +68,76 @@
 )
 
 
-def feed(pieces):
+def feed_events(pieces):
     reader = EventReader(0)
     for piece in pieces:
         reader.feed(piece, None)
 
 
-def fleet():
-    made = LocalFleet(VirtualClock())
+def start_fleet():
+    fleet = LocalFleet(VirtualClock())
 
-    def begin():
-        made.change_configuration([*parse_documents(BASE, "base"), *SERVERS])
-        made.start("a-1", "a")
-        made.wait_ready()
+    def configure():
+        fleet.change_configuration([*parse_documents(BASE, "base"), *SERVERS])
+        fleet.start("a-1", "a")
+        fleet.wait_ready()
 
-    made.clock.run(gevent.spawn(begin))
-    return made
+    fleet.clock.run(gevent.spawn(configure))
+    return fleet
 
 
-def ask(made, table, deadline, key, token, pipeline):
-    called = CallerRequest(
-        pipeline, token, json.dumps(table).encode(), made.clock.now(), deadline, key
+def send_request(fleet, document, deadline, key, token, pipeline):
+    request = CallerRequest(
+        pipeline, token, json.dumps(document).encode(), fleet.clock.now(), deadline, key
     )
 
-    def work():
+    def serve():
         try:
-            reply = made.runtimes["a-1"].gateway.serve(called)
+            reply = fleet.runtimes["a-1"].gateway.serve(request)
             for _ in reply.chunks or ():
                 pass
         except MountladderError as error:
             return error
         return None
 
-    error = made.clock.run(made.calls["a-1"].spawn(work))
+    error = fleet.clock.run(fleet.calls["a-1"].spawn(serve))
     if error is not None:
         raise error
 
 
-def reads(input_):
+def strategy_and_reader(input_):
     """Return the strategy that generates a kind of input, and the function that reads it."""
-    simple = {
-        "settings": (TOML, lambda text: Settings.read(text, "x")),
-        "documents": (TOML, lambda text: parse_documents(text, "x")),
+    kinds = {
+        "settings": (TOML_TEXTS, lambda text: Settings.read(text, "x")),
+        "documents": (TOML_TEXTS, lambda text: parse_documents(text, "x")),
         "selector": (st.text("ab=!, ()in", max_size=12), Selector.parse),
         "peer message": (st.binary(max_size=200), decode),
-        "stream of tokens": (EVENTS, feed),
+        "stream of tokens": (EVENT_PIECES, feed_events),
         "row of a change": (
-            rows("revision", "operation", "author", "at_ms", "puts", "deletes"),
+            json_rows("revision", "operation", "author", "at_ms", "puts", "deletes"),
             Change.decode,
         ),
-        "row of a snapshot": (rows("revision", "documents"), Configuration.decode),
+        "row of a snapshot": (json_rows("revision", "documents"), Configuration.decode),
         "row of a claim": (
-            rows("key", "nonce", "incarnation", "fingerprint", "at_ms", "state", "answer", "code"),
+            json_rows(
+                "key", "nonce", "incarnation", "fingerprint", "at_ms", "state", "answer", "code"
+            ),
             KeyRecord.decode,
         ),
-        "row of cost": (rows(), decode_totals),
-        "kept answer": (rows("request", "revision", "result", "tokens", "stages"), Answer.decode),
+        "row of cost": (json_rows(), decode_totals),
+        "kept answer": (
+            json_rows("request", "revision", "result", "tokens", "stages"),
+            Answer.decode,
+        ),
         "issued key": (st.text(max_size=40), lambda text: IssuedKey.parse(text, b"s", "t")),
-        "faults": (JSON, Faults.read),
+        "faults": (JSON_VALUES, Faults.read),
     }
-    return simple[input_]
+    return kinds[input_]
 
 
-def never_unhandled(strategy, read):
+def check_no_unhandled(strategy, read):
     @settings(
-        max_examples=EXAMPLES,
+        max_examples=MAX_EXAMPLES,
         derandomize=True,
         deadline=None,
         database=None,
@@ -148,18 +155,18 @@
 
 @then("any request of a caller is read or refused with a numbered error")
 def any_request(context):
-    made = fleet()
+    fleet = start_fleet()
     strategy = st.tuples(
-        JSON,
+        JSON_VALUES,
         st.none() | st.floats(),
         st.text(max_size=12),
         st.sampled_from([TOKEN, "", "no"]) | st.text(max_size=5),
         st.sampled_from(["reply", "push"]) | st.text(max_size=5),
     )
-    never_unhandled(strategy, lambda value: ask(made, *value))
-    made.stop()
+    check_no_unhandled(strategy, lambda value: send_request(fleet, *value))
+    fleet.stop()
 
 
 @then("any {input_} is read or refused with a numbered error")
 def any_input(context, input_):
-    never_unhandled(*reads(input_))
+    check_no_unhandled(*strategy_and_reader(input_))
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -25,7 +25,7 @@
 from mountladder_entry.connection import Connection
 from mountladder_standins.faults import Faults
 
-PATIENCE_MS = 10_000.0
+TIMEOUT_MS = 10_000.0
 SMALL_BUFFER = 2_048
 
 
@@ -36,24 +36,24 @@
     documents = fleet.start_servers([*parse_documents(BASE, "base"), *SERVERS])
     applied = porcelain.apply(fleet.platform, fleet.clock, "test", documents)
     assert fleet.wait_ready()
-    assert not porcelain.wait_in_force(fleet.platform, fleet.clock, applied.revision, PATIENCE_MS)
+    assert not porcelain.wait_in_force(fleet.platform, fleet.clock, applied.revision, TIMEOUT_MS)
 
 
 def web(context, name="a-1"):
     return next(one.settings.web for one in context.fleet.nodes if one.settings.name == name)
 
 
-def eventually(context, holds):
-    until = context.fleet.clock.now() + PATIENCE_MS
-    while not holds():
-        assert context.fleet.clock.now() < until
+def wait_until(context, condition):
+    deadline = context.fleet.clock.now() + TIMEOUT_MS
+    while not condition():
+        assert context.fleet.clock.now() < deadline
         gevent.sleep(0.01)
 
 
-def post(context, name, path, body, headers=None, **more):
+def post(context, name, path, body, headers=None, **options):
     all_headers = {"Authorization": f"Bearer {TOKEN}", **(headers or {})}
     url = f"http://{web(context, name)}{path}"
-    return urllib3.request("POST", url, body=body, headers=all_headers, retries=False, **more)
+    return urllib3.request("POST", url, body=body, headers=all_headers, retries=False, **options)
 
 
 @when('"{method} {path}" is sent with headers {headers} and body {body}')
@@ -69,30 +69,30 @@
 
 
 @then("the status is {status:d} and the problem is {code:d} of class {class_}")
-def problem(context, status, code, class_):
-    table = json.loads(context.response.data)
-    assert context.response.status == status, table
-    assert (table["code"], table["class"]) == (code, class_), table
+def is_problem(context, status, code, class_):
+    document = json.loads(context.response.data)
+    assert context.response.status == status, document
+    assert (document["code"], document["class"]) == (code, class_), document
 
 
 @when("a body of {size:d} bytes is sent to a-1")
-def large(context, size):
+def send_large_body(context, size):
     context.response = post(context, "a-1", "/v1/pipelines/reply", b"x" * size)
 
 
-def ask_stream(context, name, tokens, **more):
+def send_stream_request(context, name, tokens, **options):
     body = json.dumps({"input": {"tokens": tokens}, "deadline_ms": 30_000})
     headers = {"Accept": "text/event-stream"}
-    return post(context, name, "/v1/pipelines/reply", body, headers, **more)
+    return post(context, name, "/v1/pipelines/reply", body, headers, **options)
 
 
 @when("a stream of {tokens:d} tokens is requested from {name}")
-def stream(context, tokens, name):
-    context.response = ask_stream(context, name, tokens)
+def request_stream(context, tokens, name):
+    context.response = send_stream_request(context, name, tokens)
 
 
 @then("the stream holds tokens 1 to {last:d} and ends with the event done")
-def whole_stream(context, last):
+def complete_stream(context, last):
     events = context.response.data.split(b"\n\n")
     ids = [int(one.split(b"\n")[0][4:]) for one in events if one.startswith(b"id: ")]
     assert ids == list(range(1, last + 1)), context.response.data
@@ -100,43 +100,43 @@
 
 
 @when("a complete answer is requested from {name}")
-def ask_whole(context, name):
+def request_complete(context, name):
     body = json.dumps({"input": {"tokens": 3}})
     context.response = post(context, name, "/v1/pipelines/reply", body)
 
 
 @then("the answer names a server and a time for stages {names}")
 def names_stages(context, names):
-    table = json.loads(context.response.data)
-    assert [one["stage"] for one in table["stages"]] == names.split(", "), table
-    assert all(one["server"] and one["ms"] > 0 for one in table["stages"])
+    document = json.loads(context.response.data)
+    assert [one["stage"] for one in document["stages"]] == names.split(", "), document
+    assert all(one["server"] and one["ms"] > 0 for one in document["stages"])
 
 
 @when("a caller disconnects from a-1 after 2 of {tokens:d} tokens")
-def leave(context, tokens):
-    response = ask_stream(context, "a-1", tokens, preload_content=False)
+def disconnect(context, tokens):
+    response = send_stream_request(context, "a-1", tokens, preload_content=False)
     data = b""
     while data.count(b"id: ") < 2:
-        piece = response.read1(100)
-        assert piece, data
-        data += piece
+        chunk = response.read1(100)
+        assert chunk, data
+        data += chunk
     response.close()
 
 
 @then("the call is cancelled at its server")
-def cancelled(context):
-    eventually(context, lambda: any(one.cancelled for one in context.fleet.standins.values()))
-    eventually(context, lambda: not any(one.running for one in context.fleet.standins.values()))
+def check_cancelled(context):
+    wait_until(context, lambda: any(one.cancelled for one in context.fleet.standins.values()))
+    wait_until(context, lambda: not any(one.running for one in context.fleet.standins.values()))
 
 
 @given("every backend server takes {ms:d} ms longer")
-def slower(context, ms):
+def slow_down(context, ms):
     for standin in context.fleet.standins.values():
         standin.faults = Faults(slow_ms=float(ms))
 
 
 @when('a push with key "{key}" is sent to a-1 and its caller disconnects')
-def leave_push(context, key):
+def push_and_disconnect(context, key):
     host, _, port = web(context).rpartition(":")
     body = b'{"input": 7}'
     head = (
@@ -146,7 +146,7 @@
     with socket.create_connection((host, int(port))) as connection:
         connection.sendall(head.encode() + body)
         standins = context.fleet.standins.values()
-        eventually(context, lambda: any(one.running for one in standins))
+        wait_until(context, lambda: any(one.running for one in standins))
 
 
 def push(context, name, key):
@@ -156,8 +156,8 @@
 
 
 @then('a repeat with key "{key}" at b-1 is answered in the end')
-def repeat(context, key):
-    eventually(context, lambda: push(context, "b-1", key)["class"] == "done")
+def repeat_push(context, key):
+    wait_until(context, lambda: push(context, "b-1", key)["class"] == "done")
 
 
 @then('"{work}" was run {times:d} time')
@@ -173,36 +173,36 @@
 
 
 @when("a push is sent to b-1 with a key that a-1 issued, and again to a-1")
-def issued(context):
+def push_issued_key(context):
     key = porcelain.issue_keys(web(context), TOKEN)[0]
     context.answers = [push(context, "b-1", key), push(context, "a-1", key)]
 
 
 @then("both have the same answer")
-def same(context):
+def same_answer(context):
     first, second = context.answers
     assert first["class"] == "done" and first == second, context.answers
 
 
 @when("a-1 is shut down during a stream of {tokens:d} tokens")
 def shut_down(context, tokens):
-    task = gevent.spawn(ask_stream, context, "a-1", tokens)
+    task = gevent.spawn(send_stream_request, context, "a-1", tokens)
     node = context.fleet.nodes[0]
-    eventually(context, lambda: node.admission.total == 1)
-    context.cut = node.stop()
+    wait_until(context, lambda: node.admission.total == 1)
+    context.aborted_requests = node.stop()
     context.response = task.get()
 
 
 @then("a-1 aborted {number:d} requests")
-def cut(context, number):
-    assert context.cut == number
+def aborted_count(context, number):
+    assert context.aborted_requests == number
 
 
 @when("a peer with another secret connects to a-1")
-def stranger(context):
-    me = Instance("stranger", "0", "a", "", "")
+def connect_with_other_secret(context):
+    own = Instance("stranger", "0", "a", "", "")
     link = TcpNetwork(b"another secret, not the fleet's").connect(
-        context.fleet.nodes[0].settings.peer, me
+        context.fleet.nodes[0].settings.peer, own
     )
     try:
         link.handshake()
@@ -227,8 +227,8 @@
 @then("a-1 counts a failed peer message and still serves")
 def still_serves(context):
     counts = context.fleet.nodes[0].metrics.counts
-    eventually(context, lambda: counts["peer_errors.bad_message"] >= 1)
-    ask_whole(context, "a-1")
+    wait_until(context, lambda: counts["peer_errors.bad_message"] >= 1)
+    request_complete(context, "a-1")
     assert context.response.status == 200
 
 
@@ -250,12 +250,12 @@
 @given("a-1 drops callers that make no progress for {ms:d} ms and has small buffers")
 def small_buffers(context, ms):
     context.stack.enter_context(patch.object(Connection, "timeout_seconds", ms / 1000.0))
-    listening = context.fleet.nodes[0].web.socket
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
+    listener = context.fleet.nodes[0].web.socket
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
 
 
 @when("a caller asks a-1 for {tokens:d} tokens and reads nothing")
-def read_nothing(context, tokens):
+def request_without_reading(context, tokens):
     for standin in context.fleet.standins.values():
         standin.speeds = dataclasses.replace(standin.speeds, token_ms=0.5, factor=1.0)
     host, _, port = web(context).rpartition(":")
@@ -268,10 +268,10 @@
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
     connection.connect((host, int(port)))
     connection.sendall(head.encode() + body)
-    eventually(context, lambda: context.fleet.nodes[0].admission.total == 1)
+    wait_until(context, lambda: context.fleet.nodes[0].admission.total == 1)
 
 
 @then("it is no longer admitted at a-1 and the call is cancelled at its server")
-def place_free(context):
-    eventually(context, lambda: context.fleet.nodes[0].admission.total == 0)
-    cancelled(context)
+def not_admitted(context):
+    wait_until(context, lambda: context.fleet.nodes[0].admission.total == 0)
+    check_cancelled(context)
--- a/features/steps/ingress_steps.py
+++ b/features/steps/ingress_steps.py
@@ -26,11 +26,11 @@
 ID = b"Mountladder-Request-Id: r1\r\n"
 
 
-class Forwarder:
+class FakeForwarder:
     def __init__(self, behaviour):
         self.behaviour = behaviour
         self.requests = []
-        self.ended = Event()
+        self.cancelled = Event()
 
     def serve(self, request):
         self.requests.append(request)
@@ -42,20 +42,20 @@
             try:
                 gevent.sleep(5.0)
             finally:
-                self.ended.set()
+                self.cancelled.set()
         if self.behaviour == "a cut stream":
-            return ForwardAnswer(200, (("Mountladder-Server-Stamp", "s"),), self.cut())
+            return ForwardAnswer(200, (("Mountladder-Server-Stamp", "s"),), self.cut_stream())
         headers = (("Mountladder-Request-Id", request.id), ("Mountladder-Server-Stamp", "s"))
         return ForwardAnswer(200, headers, b"answer to " + request.id.encode())
 
-    def cut(self):
+    def cut_stream(self):
         yield b"id: 1\n\n"
         raise RunError("", Code.STREAM_CUT)
 
 
 @given('an ingress whose forwarder answers "{behaviour}"')
 def ingress(context, behaviour):
-    context.forwarder = Forwarder(behaviour)
+    context.forwarder = FakeForwarder(behaviour)
     context.leaving = False
     handler = type(
         "Handler",
@@ -75,7 +75,7 @@
 
 
 @given("the instance is leaving")
-def leaving(context):
+def set_leaving(context):
     context.leaving = True
 
 
@@ -113,17 +113,17 @@
 @when("a caller sends two requests at once on a connection")
 def send_two(context):
     with socket.create_connection(context.address) as connection:
-        plain = SENT["a request"]
-        connection.sendall(plain + plain.replace(b": r1", b": r2"))
+        request = SENT["a request"]
+        connection.sendall(request + request.replace(b": r1", b": r2"))
         context.received = read_all(connection)
 
 
 @when("a caller sends a request and disconnects")
-def leave(context):
+def disconnect(context):
     with socket.create_connection(context.address) as connection:
         connection.sendall(SENT["a request"])
         gevent.sleep(0.1)
-    assert context.forwarder.requests and not context.forwarder.ended.is_set()
+    assert context.forwarder.requests and not context.forwarder.cancelled.is_set()
 
 
 def read_all(connection):
@@ -139,7 +139,7 @@
 
 
 @then("it gets status {status:d}")
-def gets(context, status):
+def gets_status(context, status):
     assert status_of(context.received) == status, context.received
     served = [(one.method, one.target, one.body) for one in context.forwarder.requests]
     assert served == ([("POST", "/a/b", b"hi")] if status in {200, 500} else []), served
@@ -152,30 +152,30 @@
 
 
 @then("it gets the answers to the first and the second")
-def both(context):
+def answers_in_order(context):
     assert context.received.index(b"answer to r1") < context.received.index(b"answer to r2")
     assert [one.id for one in context.forwarder.requests] == ["r1", "r2"]
 
 
 @then("the answer is cut after its first event")
-def cut(context):
+def is_cut(context):
     assert b"id: 1\n\n" in context.received
     assert not context.received.endswith(b"0\r\n\r\n"), context.received
 
 
 @then("the work on it is cancelled within {ms:d} ms")
-def work_ends(context, ms):
-    assert context.forwarder.ended.wait(ms / 1000)
+def work_cancelled(context, ms):
+    assert context.forwarder.cancelled.wait(ms / 1000)
 
 
 @then("it gets status {status:d}, Retry-After {seconds} and no server stamp")
-def refusal(context, status, seconds):
+def is_refusal(context, status, seconds):
     assert status_of(context.received) == status
     assert f"Retry-After: {seconds}\r\n".encode() in context.received
     assert b"Stamp" not in context.received
 
 
 @then("it gets status {status:d} and the connection closes")
-def closes(context, status):
+def connection_closes(context, status):
     assert status_of(context.received) == status
     assert b"Connection: close\r\n" in context.received
--- a/features/steps/knowledge_steps.py
+++ b/features/steps/knowledge_steps.py
@@ -18,27 +18,27 @@
 
 
 @given("the store is down for {name}")
-def down_for(context, name):
+def store_down_for(context, name):
     instance = context.fleet.instances[name]
-    twin = type(context.fleet.catalogue)(context.clock)
-    twin.down = True
-    instance.catalogue_source.source = twin
+    replacement = type(context.fleet.catalogue)(context.clock)
+    replacement.down = True
+    instance.catalogue_source.source = replacement
 
 
 @given("the change feeds of {name} stop delivering")
-def silent(context, name):
+def feeds_stop(context, name):
     instance = context.fleet.instances[name]
     for source in (instance.catalogue_source, instance.directory_source):
-        twin = type(context.fleet.catalogue)(context.clock)
-        twin.era, twin.version = source.position.era, source.position.version
-        source.source = twin
+        replacement = type(context.fleet.catalogue)(context.clock)
+        replacement.era, replacement.version = source.position.era, source.position.version
+        source.source = replacement
     context.fleet.catalogue.put("other", b"")
     context.fleet.servers.put("other", b'["none", "a", true]')
     context.run(context.clock.sleep, 100.0)
 
 
 @when("catalogue version {version:d} is written")
-def write(context, version):
+def write_catalogue(context, version):
     context.fleet.configure(catalogue(version))
 
 
@@ -48,7 +48,7 @@
 
 
 @when("an older catalogue {version:d} reaches {name} from a peer")
-def old_from_peer(context, version, name):
+def receive_old_from_peer(context, version, name):
     context.fleet.catalogues[version] = catalogue(version)
     instance = context.fleet.instances[name]
     link = next(iter(instance.fleet.links.values()))
@@ -57,7 +57,7 @@
 
 
 @when("an older catalogue {version:d} reaches {name} from the store")
-def old_from_store(context, version, name):
+def receive_old_from_store(context, version, name):
     context.fleet.catalogues[version] = catalogue(version)
     row = SourceRow(CATALOGUE, str(version).encode(), Position(0, 1))
     page = SourcePage((row,), Position(0, 1))
@@ -65,69 +65,69 @@
 
 
 @when("an older catalogue {version:d} reaches {name} after the store lost its history")
-def old_after_loss(context, version, name):
+def read_old_after_loss(context, version, name):
     context.fleet.catalogues[version] = catalogue(version)
     source = context.fleet.catalogue
-    newest = source.rows[CATALOGUE]
-    source.rows[CATALOGUE] = SourceRow(CATALOGUE, str(version).encode(), newest.position)
+    newest_row = source.rows[CATALOGUE]
+    source.rows[CATALOGUE] = SourceRow(CATALOGUE, str(version).encode(), newest_row.position)
     source.version += 1
     source.drop_history()
     context.run(context.clock.sleep, 10_000.0)
 
 
 @given("the code is mutated to adopt any catalogue")
-def adopts_any(context):
-    plain = CatalogueFollower.adopt
+def mutate_adopt(context):
+    original = CatalogueFollower.adopt
 
     def adopt(self, encoded, source):
         self.catalogue = None
-        return plain(self, encoded, source)
+        return original(self, encoded, source)
 
     CatalogueFollower.adopt = adopt
-    context.stack.callback(setattr, CatalogueFollower, "adopt", plain)
+    context.stack.callback(setattr, CatalogueFollower, "adopt", original)
 
 
 @then("every instance has catalogue version {version:d}")
-def all_have(context, version):
+def all_have_version(context, version):
     found = {name: one.follower.version for name, one in context.fleet.instances.items()}
     assert set(found.values()) == {version}, found
 
 
 @then("instance {name} has catalogue version {version:d}")
-def one_has(context, name, version):
+def has_version(context, name, version):
     assert context.fleet.instances[name].follower.version == version
 
 
 @when("server {name} is listed as draining")
-def drains(context, name):
+def list_draining(context, name):
     context.fleet.add_server(name, "desk", "a", draining=True)
 
 
 @when("server {name} is listed again")
-def listed_again(context, name):
+def list_server(context, name):
     context.fleet.add_server(name, "desk", "a")
 
 
 @when("server {name} is removed from the list")
-def removed(context, name):
+def remove_server(context, name):
     context.fleet.servers.put(name, None)
 
 
 @then("no request went to {name}")
-def none_to(context, name):
+def no_request_to(context, name):
     arrivals = context.fleet.upstream.arrivals
     assert arrivals
     assert all(name not in servers for servers in arrivals.values())
 
 
 @then("instance {name} knows servers {names}")
-def knows(context, name, names):
+def knows_servers(context, name, names):
     found = context.fleet.instances[name].directory.available("desk")
     assert sorted(one.name for one in found) == names.split(", "), found
 
 
 @when("an older copy of the list reaches {name}")
-def old_copy(context, name):
+def receive_old_copy(context, name):
     instance = context.fleet.instances[name]
     link = next(iter(instance.fleet.links.values()))
     known = instance.directory.records["desk-2"].server
@@ -136,7 +136,7 @@
 
 
 @given("instance {name} misses that server {server} is removed while the store loses its history")
-def misses(context, name, server):
+def miss_removal(context, name, server):
     source = context.fleet.servers
     source.down = True
     context.run(context.clock.sleep, 5_000.0)
@@ -147,7 +147,7 @@
 
 
 @when("a copy reaches {name} from a peer that reached the store again and saw {server} removed")
-def lapsed_copy(context, name, server):
+def receive_removal(context, name, server):
     instance = context.fleet.instances[name]
     link = next(iter(instance.fleet.links.values()))
     position = Position(0, instance.directory.position.version + 1)
@@ -155,16 +155,16 @@
     context.run(instance.fleet.handle, copy, link)
 
 
-@then("each instance's share of the retry reserve of {reserve:d} is at most {most:g}")
-def part_of_reserve(context, reserve, most):
+@then("each instance's share of the retry reserve of {reserve:d} is at most {max_share:g}")
+def reserve_share(context, reserve, max_share):
     for instance in context.fleet.instances.values():
         assert instance.settings.retry_reserve == reserve
-        assert 0 < instance.budgets.reserve() <= most, instance.budgets.reserve()
+        assert 0 < instance.budgets.reserve() <= max_share, instance.budgets.reserve()
 
 
-@then("an instance that knows no others uses at most {most:g} of it")
-def knows_none(context, most):
+@then("an instance that knows no others uses at most {max_share:g} of it")
+def reserve_share_alone(context, max_share):
     instance = context.fleet.instances["a-1"]
     instance.membership.known.clear()
     instance.membership.listed = frozenset()
-    assert instance.budgets.reserve() <= most
+    assert instance.budgets.reserve() <= max_share
--- a/features/steps/line_steps.py
+++ b/features/steps/line_steps.py
@@ -16,7 +16,7 @@
 
 
 @given("logs of two instances with lines of requests r1 and r2")
-def logs(context):
+def logs_of_two(context):
     folder = Path(context.stack.enter_context(tempfile.TemporaryDirectory()))
     first = [
         {"message_type": "ended", "request": "r1", "timestamp": 12.5, "code": 0},
@@ -33,7 +33,7 @@
 
 
 @when("the log lines of {request} are requested")
-def ask(context, request):
+def request_lines(context, request):
     context.result = CliRunner().invoke(main, ["lines", request, *context.files])
 
 
@@ -49,7 +49,7 @@
 
 
 @then("the command fails and names {request}")
-def fails(context, request):
+def command_fails(context, request):
     assert context.result.exit_code != 0
     assert request in context.result.output
 
@@ -71,8 +71,12 @@
         (1.4, "first-event", {"elapsed_ms": 1_400}),
         (2.0, "ended", {"code": 0, "elapsed_ms": 2_000}),
     ],
-    "door": [(0.0, "ended", {"code": 2001, "reason": "expected 1200 ms, latency target 1000 ms"})],
-    "back": [(0.0, "ended", {"code": 2001, "reason": "expected 1300 ms, latency target 1000 ms"})],
+    "rejected": [
+        (0.0, "ended", {"code": 2001, "reason": "expected 1200 ms, latency target 1000 ms"})
+    ],
+    "returning": [
+        (0.0, "ended", {"code": 2001, "reason": "expected 1300 ms, latency target 1000 ms"})
+    ],
     "left": [(0.0, "let-in", {}), (4.0, "ended", {"code": 3007, "elapsed_ms": 4_000})],
     "failed": [(0.0, "sent", {"server": "s3"}), (1.0, "ended", {"code": 3003})],
     "unended": [(0.0, "let-in", {}), (0.4, "pieces-late", {"service": "encode"})],
@@ -80,32 +84,32 @@
 STATIONS = {
     "staged": "stage rank",
     "read": "server s2",
-    "door": "admission: code 2001",
-    "back": "admission: code 2001",
+    "rejected": "admission: code 2001",
+    "returning": "admission: code 2001",
     "left": "stages: no call was answered",
     "failed": "server s3",
     "unended": "stage encode",
 }
 
 
-@given("logs of a route with a latency target of {aim:d} ms")
-def traced(context, aim):
+@given("logs of a route with a latency target of {target_ms:d} ms")
+def logs_with_target(context, target_ms):
     folder = Path(context.stack.enter_context(tempfile.TemporaryDirectory()))
-    rows = []
-    for request, steps in TRACES.items():
-        first = {"route": "r", "aim_ms": aim, "comes_back": request == "back"}
-        for after, kind, fields in [(0.0, "received", first), *steps]:
+    messages = []
+    for request, lines in TRACES.items():
+        first = {"route": "r", "aim_ms": target_ms, "comes_back": request == "returning"}
+        for after, kind, fields in [(0.0, "received", first), *lines]:
             key = {"requests": [request]} if kind.startswith("pieces") else {"request": request}
-            rows.append({"message_type": kind, "timestamp": 100.0 + after} | key | fields)
+            messages.append({"message_type": kind, "timestamp": 100.0 + after} | key | fields)
     context.path = folder / "log"
-    context.path.write_text("\n".join(json.dumps(one) for one in reversed(rows)))
+    context.path.write_text("\n".join(json.dumps(one) for one in reversed(messages)))
 
 
 @when("the account of the logs is requested")
-def ask_account(context):
+def request_account(context):
     plain = CliRunner().invoke(main, ["account", str(context.path)])
     assert plain.exit_code == 0, plain.output
-    context.shown = plain.output
+    context.account = plain.output
     as_json = CliRunner().invoke(main, ["--output", "json", "account", str(context.path)])
     assert as_json.exit_code == 0, as_json.output
     context.traces = {one["request"]: one for one in json.loads(as_json.output)}
@@ -115,32 +119,32 @@
     "it counts {on_time:d} on time, {late:d} late, {refused:d} refused, {again:d} again,"
     " {left:d} left, {failed:d} failed and {unended:d} unended"
 )
-def counts(context, **numbers):
+def counts_outcomes(context, **numbers):
     found = Counter(one["outcome"].replace(" ", "_") for one in context.traces.values())
     assert found == numbers, found
 
 
 @then("the station of each request that was not on time is named")
-def stations(context):
+def stations_named(context):
     for request, trace in context.traces.items():
         assert trace["station"] == STATIONS.get(request, ""), (request, trace)
-        assert trace["station"] in context.shown
+        assert trace["station"] in context.account
 
 
 @given(
     "logs of {number:d} requests of a route,"
     " the {large:d} largest of which were refused at admission"
 )
-def sized(context, number, large):
+def logs_by_size(context, number, large):
     folder = Path(context.stack.enter_context(tempfile.TemporaryDirectory()))
-    rows = []
+    messages = []
     for n in range(number):
         code = 2001 if n < large else 0
         received = {"route": "r", "aim_ms": 1_000, "tokens": 1_000 * (number - n)}
         for kind, fields in (("received", received), ("ended", {"code": code, "elapsed_ms": 1})):
-            rows.append({"message_type": kind, "timestamp": 100.0, "request": f"q{n}"} | fields)
+            messages.append({"message_type": kind, "timestamp": 100.0, "request": f"q{n}"} | fields)
     context.path = folder / "log"
-    context.path.write_text("\n".join(json.dumps(one) for one in rows))
+    context.path.write_text("\n".join(json.dumps(one) for one in messages))
 
 
 @then(
@@ -149,7 +153,7 @@
 )
 def shows_sizes(context, refused, admission):
     rows = {}
-    for line in context.shown.splitlines():
+    for line in context.account.splitlines():
         for name in ("largest tenth", "fifth below", "the others"):
             if name in line:
                 rows[name] = line.partition(name)[2].split()
--- a/features/steps/member_steps.py
+++ b/features/steps/member_steps.py
@@ -13,25 +13,25 @@
 
 
 @given("messages between instances are counted")
-def counted(context):
-    context.lists = 0
-    plain = MemoryLink.send
+def count_lists(context):
+    context.lists_sent = 0
+    original = MemoryLink.send
 
     def send(link, message):
-        context.lists += isinstance(message, MemberList)
-        return plain(link, message)
+        context.lists_sent += isinstance(message, MemberList)
+        return original(link, message)
 
     MemoryLink.send = send
-    context.stack.callback(setattr, MemoryLink, "send", plain)
+    context.stack.callback(setattr, MemoryLink, "send", original)
 
 
 @then("the list of instances was sent at most {number:d} times")
 def sent_at_most(context, number):
-    assert context.lists <= number, context.lists
+    assert context.lists_sent <= number, context.lists_sent
 
 
 @given("the platform's list of instances cannot be read")
-def unreadable(context):
+def make_unreadable(context):
     def instances():
         raise StoreUnavailableError("the list cannot be read")
 
@@ -39,7 +39,7 @@
 
 
 @when("instance c-new starts with one seed, {seed}")
-def starts(context, seed):
+def start_with_seed(context, seed):
     others = dict(context.fleet.instances)
     context.fleet.instances = {seed: others[seed]}
     context.run(context.fleet.start, "c-new")
@@ -53,12 +53,12 @@
 
 
 @given("the platform's list has an instance d-1 that no instance knows")
-def listed(context):
+def list_unknown(context):
     context.fleet.instance_list.announce(Instance("d-1", "d1", "d", "", "d-1", cores=1.0, since=0))
 
 
 @then("every instance of data centre c knows d-1")
-def knows_listed(context):
+def all_know_listed(context):
     for one in context.fleet.instances.values():
         if one.settings.datacentre == "c":
             assert "d-1" in one.membership.known, one.settings.name
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -17,7 +17,7 @@
 from mountladder_platform.httpupstream import HttpUpstream
 from mountladder_platform.reading import read_request
 from mountladder_platform.store import StoreTable
-from rawanswers import ANSWERS, CLOSED, LATER, RESET, SILENCE
+from rawanswers import ANSWERS, CLOSED, NO_ANSWER, REPEATED_LATER, RESET
 
 from mountladder.clocks.systemclock import SystemClock
 from mountladder.errors import BadRowError, HistoryLostError, StageError, StoreUnavailableError
@@ -33,7 +33,7 @@
 from mountladder_entry.httpclient import HttpClient
 from mountladder_entry.logqueue import MAX_LINES, LogQueue
 
-LIMIT_MS = 300.0
+TIMEOUT_MS = 300.0
 
 
 def listen(context, handle):
@@ -43,35 +43,35 @@
     return f"127.0.0.1:{server.server_port}"
 
 
-def read_one(connection, rest):
+def receive_request(connection, buffered):
     """Return the head and body of the next request (None at the end), and the bytes after it."""
-    while b"\r\n\r\n" not in rest:
+    while b"\r\n\r\n" not in buffered:
         data = connection.recv(65_536)
         if not data:
-            return None, rest
-        rest += data
-    head, _, rest = rest.partition(b"\r\n\r\n")
+            return None, buffered
+        buffered += data
+    head, _, buffered = buffered.partition(b"\r\n\r\n")
     length = 0
     for line in head.split(b"\r\n")[1:]:
         name, _, value = line.partition(b":")
         if name.lower() == b"content-length":
             length = int(value)
-    while len(rest) < length:
-        rest += connection.recv(65_536)
-    return (head, rest[:length]), rest[length:]
+    while len(buffered) < length:
+        buffered += connection.recv(65_536)
+    return (head, buffered[:length]), buffered[length:]
 
 
-def answer_with(context, name):
+def answer_handler(context, name):
     def handle(connection, address):
         context.connections += 1
-        rest = b""
+        buffered = b""
         while True:
-            got, rest = read_one(connection, rest)
-            if got is None:
+            received, buffered = receive_request(connection, buffered)
+            if received is None:
                 return
-            context.got.append(got)
+            context.received_requests.append(received)
             answer = ANSWERS[name]
-            if answer is SILENCE:
+            if answer is NO_ANSWER:
                 gevent.sleep(2.0)
                 return
             if answer is CLOSED:
@@ -79,21 +79,21 @@
             id_ = next(
                 (
                     line.partition(b": ")[2]
-                    for line in got[0].split(b"\r\n")
+                    for line in received[0].split(b"\r\n")
                     if line.lower().startswith(b"mountladder-request-id")
                 ),
                 b"",
             )
-            data, ends = answer
+            data, end = answer
             connection.sendall(data.replace(b"@ID", id_))
-            if ends == LATER:
+            if end == REPEATED_LATER:
                 gevent.sleep(0.02)
                 connection.sendall(data)
                 continue
-            if ends == RESET:
+            if end == RESET:
                 gevent.sleep(0.05)
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            if ends:
+            if end:
                 connection.close()
                 return
 
@@ -103,13 +103,13 @@
 @given('a backend server that answers "{name}"')
 def backend(context, name):
     context.connections = 0
-    context.got = []
-    address = listen(context, answer_with(context, name))
+    context.received_requests = []
+    address = listen(context, answer_handler(context, name))
     make_upstream(context, address)
 
 
 @given('a backend server that answers "{name}", with a connection share of {number:d}')
-def backend_part(context, name, number):
+def backend_with_share(context, name, number):
     backend(context, name)
     context.upstream.connection_share = lambda server: number
 
@@ -120,13 +120,13 @@
 
 
 @then("{number:d} idle connections to it are kept")
-def kept(context, number):
-    assert context.connections == len(context.ended) == 8
+def idle_connections(context, number):
+    assert context.connections == len(context.call_outcomes) == 8
     assert len(context.upstream.pool.idle[context.server.address]) == number
 
 
 @given("a backend server whose port is closed")
-def nobody(context):
+def closed_port(context):
     listening = socket.socket()
     listening.bind(("127.0.0.1", 0))
     address = f"127.0.0.1:{listening.getsockname()[1]}"
@@ -138,33 +138,35 @@
     context.server = listed_server("i-1", "desk", address, "a", 8, False)
     context.upstream = HttpUpstream(SystemClock())
     context.stack.callback(context.upstream.close)
-    context.ended = []
-    context.heard = []
+    context.call_outcomes = []
+    context.reported = []
 
 
-def call(
+def make_call(
     context, id_, headers=(), reusable=True, body=b"in", target="/p%61th/1?q=%20", team="team-1"
 ):
     now = context.upstream.clock.now()
-    sent = [("Host", "desk.x"), ("Mountladder-Request-Id", id_), *headers]
-    request = read_request("POST", target, sent, body, now)
-    inputs, heard = ("h/1", "h/2"), context.heard.append
+    all_headers = [("Host", "desk.x"), ("Mountladder-Request-Id", id_), *headers]
+    request = read_request("POST", target, all_headers, body, now)
+    inputs, report = ("h/1", "h/2"), context.reported.append
     return ForwardCall(
         request,
         team,
         now + 5_000.0,
         inputs,
         may_reuse_connection=reusable,
-        on_notices=lambda server, notices, sent_at: heard(notices),
+        on_notices=lambda server, notices, sent_at: report(notices),
     )
 
 
 def send(context, id_, **options):
     try:
-        answer = context.upstream.open(context.server, call(context, id_, **options), LIMIT_MS)
-        context.ended.append((answer.status, answer.read(LIMIT_MS)))
+        answer = context.upstream.open(
+            context.server, make_call(context, id_, **options), TIMEOUT_MS
+        )
+        context.call_outcomes.append((answer.status, answer.read(TIMEOUT_MS)))
     except StageError as error:
-        context.ended.append(error)
+        context.call_outcomes.append(error)
 
 
 @when("request {id_} is sent to it")
@@ -173,26 +175,28 @@
 
 
 @then("its rate limit notices are {notices}")
-def limit_heard(context, notices):
+def limit_notices(context, notices):
     named = {"none": [], "unlimited": [UNLIMITED]}
     expected = named[notices] if notices in named else [float(notices.split()[0])]
-    limits = [one.per_s for one in heard_of(context, RateLimit)]
-    assert limits == expected, context.heard
+    limits = [notice.per_s for notice in reported_notices(context, RateLimit)]
+    assert limits == expected, context.reported
 
 
-def heard_of(context, kind):
+def reported_notices(context, kind):
     """Return the notices of one kind that were reported."""
-    return [one for notices in context.heard for one in notices if isinstance(one, kind)]
+    return [
+        notice for notices in context.reported for notice in notices if isinstance(notice, kind)
+    ]
 
 
 @then("its leaving and back-off notices are {notices}")
-def leaving_heard(context, notices):
+def other_notices(context, notices):
     expected = {"leaving": ([Leaving()], []), "none": ([], [])}
-    rest = (
+    backoffs = (
         [BackOff(1000.0 * float(notices.split()[-2]))] if notices.startswith("back-off for") else []
     )
-    heard = (heard_of(context, Leaving), heard_of(context, BackOff))
-    assert heard == expected.get(notices, ([], rest)), context.heard
+    reported = (reported_notices(context, Leaving), reported_notices(context, BackOff))
+    assert reported == expected.get(notices, ([], backoffs)), context.reported
 
 
 @when("requests {first} and {second} are sent to it")
@@ -210,30 +214,30 @@
 
 
 @then('it ends with status {status:d} and body "{body}"')
-def ends_well(context, status, body):
-    assert context.ended == [(status, body.encode())], context.ended
+def ends_with_answer(context, status, body):
+    assert context.call_outcomes == [(status, body.encode())], context.call_outcomes
 
 
 @then("it ends with code {code:d}, may have run")
 def may_have_run(context, code):
-    (error,) = context.ended
+    (error,) = context.call_outcomes
     assert (error.code.number, error.dispatched) == (code, True), repr(error)
 
 
 @then("it ends with code {code:d}, not run")
 def not_run(context, code):
-    (error,) = context.ended
+    (error,) = context.call_outcomes
     assert (error.code.number, error.dispatched) == (code, False), repr(error)
 
 
 @then("they went over {number:d} connections and both ended with status {status:d}")
-def over(context, number, status):
-    assert context.ended == [(status, b"hello")] * 2, context.ended
+def connections_used(context, number, status):
+    assert context.call_outcomes == [(status, b"hello")] * 2, context.call_outcomes
     assert context.connections == number, context.connections
 
 
 @when("a caller's request with forged and private headers is sent to it")
-def forged(context):
+def send_forged(context):
     headers = (
         ("Authorization", "Bearer secret"),
         ("Mountladder-Tenant", "forged"),
@@ -251,13 +255,13 @@
 
 
 @then("the server gets the same request, with the instance's headers in place of forged ones")
-def got(context):
-    ((head, body),) = context.got
+def request_received(context):
+    ((head, body),) = context.received_requests
     lines = head.decode().split("\r\n")
     assert lines[0] == "POST /p%61th/1?q=%20 HTTP/1.1"
     assert body == b"\0\xffbody"
     headers = [tuple(line.split(": ", 1)) for line in lines[1:]]
-    for wanted in (
+    for expected in (
         ("Host", "desk.x"),
         ("Mountladder-Request-Id", "r1"),
         ("Mountladder-Tenant", "team-1"),
@@ -267,48 +271,48 @@
         ("X-Kept", "a"),
         ("X-Kept", "b"),
     ):
-        assert headers.count(wanted) == 1, (wanted, headers)
+        assert headers.count(expected) == 1, (expected, headers)
     names = [name.lower() for name, _ in headers]
     assert not {"authorization", "kv-from", "x-private", "user-agent"} & set(names), names
-    left = [int(value) for name, value in headers if name == "Mountladder-Deadline-Ms"]
-    assert len(left) == 1 and 4_500 < left[0] <= 5_000, left
+    deadlines_ms = [int(value) for name, value in headers if name == "Mountladder-Deadline-Ms"]
+    assert len(deadlines_ms) == 1 and 4_500 < deadlines_ms[0] <= 5_000, deadlines_ms
     assert "forged" not in head.decode()
 
 
 @when("a caller without a team sends a forged team")
-def claims_team(context):
+def send_forged_team(context):
     send(context, "r1", headers=(("Mountladder-Tenant", "forged"),), team="")
 
 
 @then("the server gets no team")
 def no_team(context):
-    ((head, _),) = context.got
+    ((head, _),) = context.received_requests
     assert b"tenant" not in head.lower() and b"forged" not in head
 
 
 @when("a stage call is sent to it")
 @when("three pieces are sent to it")
-def pieces(context):
+def send_pieces(context):
     now = context.upstream.clock.now()
-    sent = [Piece("r1", 0, n, "key", (), now + 900.0) for n in range(3)]
+    pieces = [Piece("r1", 0, n, "key", (), now + 900.0) for n in range(3)]
     try:
         context.results = context.upstream.run_pieces(
             context.server,
-            sent,
-            LIMIT_MS,
-            lambda server, per_s, sent_at: context.heard.append(per_s),
+            pieces,
+            TIMEOUT_MS,
+            lambda server, per_s, sent_at: context.reported.append(per_s),
         )
     except StageError as error:
-        context.ended.append(error)
+        context.call_outcomes.append(error)
 
 
 @then("their results are a handle, input gone and no room in this order")
-def results(context):
+def results_in_order(context):
     first, second, third = context.results
     assert (first.handle, first.failure) == ("10.0.0.1:1/a", None)
     assert second.failure is PieceFailure.INPUT_GONE
     assert third.failure is PieceFailure.NO_ROOM
-    ((_, body),) = context.got
+    ((_, body),) = context.received_requests
     items = json.loads(body)["items"]
     assert [item["fragment"] for item in items] == [0, 1, 2]
     assert all(item["key"] == "key" and 0 < item["remaining_ms"] <= 900 for item in items)
@@ -362,7 +366,7 @@
 
 
 @when("the configuration {text} is decoded")
-def decode_bad(context, text):
+def decode_malformed(context, text):
     context.refused = None
     try:
         decode_catalogue(text.encode())
@@ -375,13 +379,13 @@
     assert context.refused is not None
 
 
-def row(**fields):
+def changes_body(**fields):
     return json.dumps({"rows": [fields], "ver": 9, "now_ms": 1}).encode()
 
 
 STORE = {
-    "a change": (200, row(key="k", value=base64.b64encode(b"v").decode(), ver=7)),
-    "a removal": (200, row(key="k", removed=True, ver=8)),
+    "a change": (200, changes_body(key="k", value=base64.b64encode(b"v").decode(), ver=7)),
+    "a removal": (200, changes_body(key="k", removed=True, ver=8)),
     "lost history": (410, b"{}"),
     "busy": (503, b""),
     "too many calls": (429, b""),
@@ -391,8 +395,8 @@
 @given('a store that answers "{name}"')
 def store(context, name):
     def handle(connection, address):
-        got, _ = read_one(connection, b"")
-        context.got.append(got)
+        received, _ = receive_request(connection, b"")
+        context.received_requests.append(received)
         if name == "silence":
             gevent.sleep(3.0)
         if name in STORE:
@@ -400,39 +404,39 @@
             connection.sendall(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, len(body)))
             connection.sendall(body)
 
-    context.got = []
+    context.received_requests = []
     address = listen(context, handle)
     client = HttpClient(f"http://{address}", SystemClock(), 300.0)
     context.stack.callback(client.close)
-    context.followed = StoreTable(client, "op")
+    context.store_table = StoreTable(client, "op")
 
 
 @when("its changes are read")
-def changes(context):
+def read_changes(context):
     context.page = context.error = None
     try:
-        context.page = context.followed.changes(Position(0, 5), 100.0)
+        context.page = context.store_table.changes(Position(0, 5), 100.0)
     except (HistoryLostError, StoreUnavailableError) as error:
         context.error = error
 
 
 @then("the change is a row with version {version:d}")
-def change(context, version):
+def is_change(context, version):
     assert context.page.position == Position(0, 9)
     (one,) = context.page.rows
     assert (one.key, one.value, one.position) == ("k", b"v", Position(0, version))
-    line = context.got[0][0].split(b"\r\n")[0]
+    line = context.received_requests[0][0].split(b"\r\n")[0]
     assert b"after=5" in line and b"wait_ms=100" in line and b"table=op" in line
 
 
 @then("the change is a removal at version {version:d}")
-def removal(context, version):
+def is_removal(context, version):
     (one,) = context.page.rows
     assert (one.value, one.position) == (None, Position(0, version))
 
 
 @then("the history is reported as lost")
-def lost(context):
+def history_lost(context):
     assert isinstance(context.error, HistoryLostError) and context.error.after == Position(0, 5)
 
 
@@ -442,7 +446,7 @@
 
 
 @given("a log whose reader does not read")
-def log(context):
+def blocked_log(context):
     context.reader, writer = os.pipe()
     context.stack.callback(os.close, context.reader)
     context.stack.callback(os.close, writer)
@@ -464,7 +468,7 @@
 
 
 @then("that took at most {ms:d} ms and the dropped lines are counted")
-def took(context, ms):
+def dropped_counted(context, ms):
     assert context.took_ms <= ms, context.took_ms
     dropped = context.metrics.counts["dropped_lines"]
     assert 0 < dropped < context.lines - MAX_LINES // 2
@@ -472,11 +476,11 @@
 
 
 @then("the log's output reports how many were dropped")
-def says(context):
+def drops_reported(context):
     dropped = context.metrics.counts["dropped_lines"]
     text = b""
     while b"log-lines-dropped" not in text:
         text += os.read(context.reader, 65_536)
         gevent.sleep(0.001)
-    note = next(json.loads(line) for line in text.split(b"\n") if b"log-lines-dropped" in line)
-    assert 0 < note["lines"] <= dropped
+    line = next(json.loads(one) for one in text.split(b"\n") if b"log-lines-dropped" in one)
+    assert 0 < line["lines"] <= dropped
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -139,7 +139,7 @@
 
 @then("the expected server is given by its id alone")
 def id_alone(context):
-    ((head, _),) = context.got
+    ((head, _),) = context.received_requests
     assert b"Mountladder-Expect-Instance: i-1\r\n" in head + b"\r\n", head
 
 
