--- a/packages/core/src/mountladder/accounts/amount.py
+++ b/packages/core/src/mountladder/accounts/amount.py
@@ -1,8 +1,8 @@
-# amount.py -- Calls, their duration and their cost
+# amount.py -- Number, duration and cost of calls to backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls, their duration and their cost."""
+"""Number, duration and cost of calls to backend servers."""
 
 from __future__ import annotations
 
--- a/packages/core/src/mountladder/accounts/charge.py
+++ b/packages/core/src/mountladder/accounts/charge.py
@@ -1,8 +1,8 @@
-# charge.py -- What cost is attributed to
+# charge.py -- Key by which cost is accumulated
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What cost is attributed to."""
+"""Key by which cost is accumulated."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """What time on backend servers is attributed to.
+    """Key by which the cost of time on backend servers is accumulated.
 
     Attributes:
         team: The team.
--- a/packages/core/src/mountladder/claims/keydecision.py
+++ b/packages/core/src/mountladder/claims/keydecision.py
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyDecision:
-    """What to do with a non-idempotent request; exactly one field is set.
+    """How to handle a non-idempotent request; exactly one field is set.
 
     Attributes:
         run: The record under which to run it here.
-        replay: The kept answer to return, as JSON.
+        replay: The stored answer to return, as JSON.
         issued_key: The issued key, if the request must be passed to the instance that issued it.
     """
 
--- a/packages/core/src/mountladder/claims/keyrecord.py
+++ b/packages/core/src/mountladder/claims/keyrecord.py
@@ -25,7 +25,7 @@
         fingerprint: A hash of the request.
         at_ms: When it was claimed, in milliseconds since the Unix epoch.
         state: The state of the request.
-        answer: The complete answer as JSON, if the request is done and its answer is kept.
+        answer: The complete answer as JSON, if the request is done and its answer is stored.
         code: The code the request failed with, or None.
         detail: The detail of that failure.
     """
--- a/packages/core/src/mountladder/claims/keyregistry.py
+++ b/packages/core/src/mountladder/claims/keyregistry.py
@@ -35,9 +35,9 @@
         on_evict: Called with the key of each record that is evicted.
         records: The records, by key.
         finished_at: When each request finished, by key, the oldest first.
-        answers: The kept answers as JSON, by key, the oldest first.
+        answers: The stored answers as JSON, by key, the oldest first.
         finished: Events that are set when a running request finishes, by key.
-        answer_bytes: The size of the kept answers.
+        answer_bytes: The size of the stored answers in bytes.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         return self.records.get(key)
 
     def answer(self, key: str) -> bytes | None:
-        """Return the kept answer of a key, or None."""
+        """Return the stored answer of a key, or None."""
         return self.answers.get(key)
 
     def begin(self, record: KeyRecord) -> None:
@@ -112,7 +112,7 @@
         self.drop_answer(key)
 
     def drop_answer(self, key: str) -> None:
-        """Drop a kept answer, but not the record of its key."""
+        """Drop a stored answer, but not the record of its key."""
         answer = self.answers.pop(key, None)
         if answer is not None:
             self.answer_bytes -= len(answer)
--- a/packages/core/src/mountladder/configuration/backendserver.py
+++ b/packages/core/src/mountladder/configuration/backendserver.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendServer(Document):
-    """A backend server.
+    """A backend server, with its location, price, capacity and models.
 
     Attributes:
         serves: "engine" for a model engine, "service" for a plain service.
--- a/packages/core/src/mountladder/configuration/changelog.py
+++ b/packages/core/src/mountladder/configuration/changelog.py
@@ -46,7 +46,7 @@
     The head row holds the newest revision. A change is accepted by one transaction that writes
     its row, which must be absent, and updates the head, which must be unchanged. If the answer is
     lost, the same transaction is sent again and the operation ids are compared, so that a write
-    that is still in flight cannot take effect after its author was told that it failed.
+    that is still in flight cannot take effect after its failure was reported to its author.
     """
 
     def __init__(self, table: Table, objects: ObjectStore, clock: Clock) -> None:
--- a/packages/core/src/mountladder/configuration/model.py
+++ b/packages/core/src/mountladder/configuration/model.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model(Document):
-    """A model.
+    """A model, its version and the backend servers that should load it.
 
     Attributes:
         version: The version that engines should serve.
--- a/packages/core/src/mountladder/configuration/pipeline.py
+++ b/packages/core/src/mountladder/configuration/pipeline.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pipeline(Document):
-    """A pipeline.
+    """A pipeline: its stages, default deadline and load shedding order.
 
     Attributes:
         deadline_ms: The default deadline of a request, in milliseconds.
@@ -50,7 +50,7 @@
         return all(stage.idempotent for stage in self.stages)
 
     def table(self) -> dict[str, object]:
-        """Return the table it is read from."""
+        """Return the table from which it can be parsed."""
         return {
             "name": self.name,
             "labels": self.labels,
--- a/packages/core/src/mountladder/configuration/requirement.py
+++ b/packages/core/src/mountladder/configuration/requirement.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One requirement for labels.
+    """One requirement of a selector: the values that a label may have.
 
     Attributes:
         label: The label's name.
--- a/packages/core/src/mountladder/configuration/stage.py
+++ b/packages/core/src/mountladder/configuration/stage.py
@@ -25,7 +25,7 @@
         after: The stages whose results it depends on.
         idempotent: Whether it may be run more than once.
         stream: Whether its result is streamed to the caller; at the last stage only.
-        share: The fraction of the deadline it may use; 0 derives it from the learnt times.
+        share: The fraction of the deadline it may use; 0 derives it from the learned times.
     """
 
     name: str
--- a/packages/core/src/mountladder/configuration/team.py
+++ b/packages/core/src/mountladder/configuration/team.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team(Document):
-    """A team.
+    """A team, with its token, share and limits.
 
     Attributes:
         token_sha256: The SHA-256 of its token, in hexadecimal.
--- a/packages/core/src/mountladder/forwarding/__init__.py
+++ b/packages/core/src/mountladder/forwarding/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Forwarding of whole requests to services, after their stages have run
+# __init__.py -- Forwards whole requests to services, after running their stages
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Forwards whole requests to the services of a catalogue, after running their stages."""
+"""Forwards whole requests to services, after running their stages."""
--- a/packages/core/src/mountladder/forwarding/backlog.py
+++ b/packages/core/src/mountladder/forwarding/backlog.py
@@ -12,7 +12,7 @@
 # Higher ranks count as this one: three ranks of routes within each of two ranks of teams.
 MAX_RANK = 5
 # Priority classes of queued pieces: first those that can be on time, by rank; behind all of them
-# those that give way because they can't, by rank up to the last one of a single team's routes.
+# those that can't and therefore give way, by rank up to the last one of a single team's routes.
 FIRST_CLASS_GIVING_WAY = MAX_RANK + 1
 LAST_RANK_GIVING_WAY = 2
 PRIORITY_CLASSES = range(FIRST_CLASS_GIVING_WAY + LAST_RANK_GIVING_WAY + 1)
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -241,7 +241,7 @@
     def start(
         self, state: ServerState, batch: list[QueuedPiece], limits: BatchLimits, now: float
     ) -> None:
-        """Send a batch to a server in a greenlet of its own."""
+        """Send a batch to a server in a new greenlet."""
         run = BatchRun(self, state, batch, limits, now)
         self.servers.begin(state, run.call)
         for progress, _ in batch:
--- a/packages/core/src/mountladder/forwarding/catalogue.py
+++ b/packages/core/src/mountladder/forwarding/catalogue.py
@@ -23,7 +23,7 @@
         version: Its version; a higher one replaces a lower one.
         routes: The routes of each host, the longest prefix first.
         services: The services by name.
-        keys: The holder of each API key.
+        keys: The team of each API key, with its priority.
         requires_key: Whether requests need a key on routes that are not public.
         limits: What callers may send.
         team_priorities: The distinct priorities of teams.
--- a/packages/core/src/mountladder/forwarding/directorylisting.py
+++ b/packages/core/src/mountladder/forwarding/directorylisting.py
@@ -1,8 +1,8 @@
-# directorylisting.py -- Checks crashes of servers against the directory, for the quarantine
+# directorylisting.py -- Server listing based on the directory of backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Checks crashes of servers against the directory, for the quarantine."""
+"""Server listing based on the directory of backend servers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DirectoryListing(ServerListing):
-    """Ends of servers that the platform lists, each start under a name of its own.
+    """The platform's list of servers, in which each incarnation of a server has its own name.
 
     Args:
         directory: The list of backend servers.
@@ -32,12 +32,12 @@
         return record is None or record.server is None or record.server.draining
 
     def is_unlisted(self, server: BackendServer) -> bool:
-        """Return whether the list lacks this start of a server; see ServerListing."""
+        """Return whether the list lacks this incarnation of a server; see ServerListing."""
         record = self.record(server)
         return record is None or record.server is None or record.server.name != server.name
 
     def incarnation_name(self, server: BackendServer, crashed_at: float) -> str:
-        """Return the server's name, which is unique to each start; see ServerListing."""
+        """Return the server's name, which is unique to each incarnation; see ServerListing."""
         return server.name
 
     def service(self, server: BackendServer) -> str:
--- a/packages/core/src/mountladder/forwarding/forwarder.py
+++ b/packages/core/src/mountladder/forwarding/forwarder.py
@@ -1,8 +1,8 @@
-# forwarder.py -- Admission of forwarded requests
+# forwarder.py -- Matches, admits and runs forwarded requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Admission of forwarded requests."""
+"""Matches, admits and runs forwarded requests."""
 
 from __future__ import annotations
 
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -68,7 +68,7 @@
 
 
 class ForwardingInstance:
-    """Everything an instance does behind its HTTP interface to forward requests.
+    """Creates, connects and runs the components that forward requests, except HTTP.
 
     Args:
         settings: The settings.
@@ -201,7 +201,7 @@
     def make_follower(
         self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]
     ) -> SourceFollower:
-        """Return a follower of a table; it reads while this instance is to follow the store."""
+        """Return a follower of a table, which reads while this instance is an elected reader."""
         reader_election = self.fleet.reader_election
         follower = SourceFollower(
             name,
@@ -235,14 +235,14 @@
         )
 
     def pump_batchers(self) -> None:
-        """Have every batcher send what the current servers can take."""
+        """Have every batcher send the pieces that the current servers can accept."""
         for batcher in self.dispatch.batchers.values():
             batcher.pump()
 
     def is_fed(self) -> bool:
         """Return whether catalogue updates would reach this instance.
 
-        That needs a live peer, unless none is known, and an answering store, here or at a peer.
+        That needs a live peer, unless no peer is known, and a store that answers here or at a peer.
         """
         known = self.membership.addressed()
         reachable = not known or any(self.fleet.is_alive(one) for one in known)
@@ -280,7 +280,7 @@
         self.stack.callback(self.upstream.close)
 
     def keep_announcing(self) -> None:
-        """Announce periodically, while it is so, that this instance follows the store."""
+        """Announce periodically that this instance follows the store, while it does."""
         while True:
             self.clock.sleep(READER_BEACON_MS)
             if self.fleet.reader_election.reading:
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -1,8 +1,8 @@
-# forwardrun.py -- Execution of one forwarded request: stages, attempts, retries and outcome
+# forwardrun.py -- Executes one forwarded request: its stages, attempts and retries
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Executes one forwarded request: runs its stages, sends it to servers and retries it."""
+"""Executes one forwarded request: its stages, attempts and retries."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         gives_way: Whether it cannot meet its latency target, so that its stages run after those of
             requests that can.
         cancel_release: Cancels the scheduled release of stage results.
-        case: The quarantine's record of the request.
+        case: The request as tracked by the quarantine.
         reservation: Chooses servers and waits for a slot at those that limit their request rate.
     """
 
@@ -183,7 +183,7 @@
             prefix_source=picked.source,
             prefill_tokens=picked.prefill_tokens,
             tokens=self.request.prompt.tokens if self.request.prompt else 0,
-            left_ms=round(self.remaining_ms()),
+            remaining_ms=round(self.remaining_ms()),
         )
         return attempt
 
--- a/packages/core/src/mountladder/forwarding/leadership.py
+++ b/packages/core/src/mountladder/forwarding/leadership.py
@@ -58,9 +58,9 @@
         return ALONE_FRACTION * self.count_served(topic) / self.fleet.membership.budget_sharers()
 
     def count_served(self, topic: str) -> int:
-        """Return how many instances this one decides for: one, or itself and those it reaches.
+        """Return how many instances this instance decides for: itself, or also those it reaches.
 
-        Instances on the far side of a partition leave their work to a coordinator there.
+        Instances on the other side of a partition leave their work to a coordinator there.
         """
         if self.fleet.coordinator(topic) is not None:
             return 1
--- a/packages/core/src/mountladder/forwarding/messageparts.py
+++ b/packages/core/src/mountladder/forwarding/messageparts.py
@@ -15,8 +15,8 @@
 
 Entry = TypeVar("Entry")
 
-# The most entries in one message. At about 120 bytes each they are as large as a part of a
-# catalogue.
+# The maximum number of entries in one message. At about 120 bytes each they are as large as a part
+# of a catalogue.
 MAX_ENTRIES = 64
 
 
--- a/packages/core/src/mountladder/forwarding/placementcoordinator.py
+++ b/packages/core/src/mountladder/forwarding/placementcoordinator.py
@@ -1,4 +1,4 @@
-# placementcoordinator.py -- Placement of prompts on model servers for all instances
+# placementcoordinator.py -- Places prompts on model servers for all instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
--- a/packages/core/src/mountladder/forwarding/placementnote.py
+++ b/packages/core/src/mountladder/forwarding/placementnote.py
@@ -1,8 +1,8 @@
-# placementnote.py -- Report on the progress of a placed prompt
+# placementnote.py -- Message that reports the progress of a placed prompt to its coordinator
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Progress report on a placed prompt, sent to the instance that placed it."""
+"""Message that reports the progress of a placed prompt to its coordinator."""
 
 from __future__ import annotations
 
--- a/packages/core/src/mountladder/forwarding/placementorder.py
+++ b/packages/core/src/mountladder/forwarding/placementorder.py
@@ -22,7 +22,7 @@
         prompt: The prompt.
         excluded: Names of servers that the requesting instance excludes.
         site: The data centre that holds large inputs, or an empty string.
-        patience_ms: How long the request may wait if servers limit their rate, in milliseconds.
+        patience_ms: How long the request may wait for a rate-limited server, in milliseconds.
         urgency: The request's priority; 0 is the most urgent.
     """
 
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -1,4 +1,4 @@
-# promptplacer.py -- Placement of prompts through the service's coordinator
+# promptplacer.py -- Places prompts through the coordinator of their service
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
--- a/packages/core/src/mountladder/forwarding/retryrules.py
+++ b/packages/core/src/mountladder/forwarding/retryrules.py
@@ -1,8 +1,8 @@
-# retryrules.py -- Retry rules for forwarded requests
+# retryrules.py -- Decides whether a failed forwarded request is retried
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Decides whether a failed request is retried, and otherwise which error the caller gets."""
+"""Decides whether a failed forwarded request is retried."""
 
 from __future__ import annotations
 
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -1,4 +1,4 @@
-# serverpicker.py -- Selection of backend servers for forwarded requests
+# serverpicker.py -- Selects backend servers for forwarded requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -29,7 +29,7 @@
 # When a caller may retry if no server is available: about as long as a circuit breaker stays open.
 NO_SERVER_RETRY_MS = 1_000.0
 # Interval at which servers with a rate limit are probed, by all instances together, while others
-# have capacity. Only an answer of the server shows that its limit has ended.
+# have capacity. Only an answer of the server shows that its limit was lifted.
 LIMITED_PROBE_MS = 250.0
 # Placeholder for requests without a prompt that are placed through the service's coordinator.
 EMPTY_PROMPT = Prompt(0, 0, ())
@@ -138,7 +138,7 @@
     ) -> PickedServer | None:
         """Use a rate-limited server if the others are overloaded, otherwise as a periodic probe.
 
-        Only answers of limited servers show that a limit has ended. Cold servers are not used.
+        Only answers of limited servers show that a limit was lifted. Cold servers are not used.
         """
         cold = self.cold.cold(servers)
         if len(free) + len(cold) == len(servers) or not self.is_probe_due(service, free):
--- a/packages/core/src/mountladder/forwarding/sourcefollower.py
+++ b/packages/core/src/mountladder/forwarding/sourcefollower.py
@@ -96,7 +96,7 @@
         return self.connected and age_ms < self.wait_ms + ANSWER_MS
 
     def step(self) -> None:
-        """Make one call and pass its page on."""
+        """Make one call to the store and pass on the page that it returns."""
         try:
             whole = self.position is None
             # An instance that has just taken over must know soon whether the store answers.
--- a/packages/core/src/mountladder/forwarding/stagecallstate.py
+++ b/packages/core/src/mountladder/forwarding/stagecallstate.py
@@ -24,5 +24,5 @@
     pieces: int
 
     def remaining_ms(self, now: float) -> float:
-        """Return the expected time until it completes, in milliseconds."""
+        """Return the expected time until the call completes, in milliseconds."""
         return max(0.0, self.started + self.expected_ms - now)
--- a/packages/core/src/mountladder/forwarding/stageforecast.py
+++ b/packages/core/src/mountladder/forwarding/stageforecast.py
@@ -123,11 +123,11 @@
 
         Raises:
             RefusalError: It is not expected to be answered before its deadline, or gives way and
-                would be given up first; carries the time after which to retry.
+                its stages would be dropped first; carries the time after which to retry.
         """
         in_time = expectation.ms <= min(request.allowed_ms, route.timeout_ms)
         if expectation.gives_way:
-            # Its stages would be given up before.
+            # Its stages would be dropped before the deadline.
             in_time = in_time and expectation.route_ms <= GIVE_UP_TARGETS * route.target_ms
         if in_time:
             return
--- a/packages/core/src/mountladder/forwarding/stagejob.py
+++ b/packages/core/src/mountladder/forwarding/stagejob.py
@@ -50,15 +50,15 @@
     fingerprint: str = ""
 
     def piece(self, fragment: int) -> Piece:
-        """Return one of its pieces."""
+        """Return a piece of the stage."""
         return Piece(self.request, self.stage, fragment, self.key, self.inputs, self.deadline)
 
     def gives_way(self, now: float) -> bool:
-        """Return whether it can't be on time, so that it is queued behind all that can."""
+        """Return whether the stage can't be on time and is queued behind all that can."""
         return self.due < now
 
     def priority_class(self, now: float) -> int:
-        """Return the priority class of its pieces, one of PRIORITY_CLASSES."""
+        """Return the priority class of the pieces, one of PRIORITY_CLASSES."""
         return priority_class(self.urgency, self.gives_way(now))
 
     def shifted(self, by_ms: float) -> StageJob:
--- a/packages/core/src/mountladder/forwarding/stagetimes.py
+++ b/packages/core/src/mountladder/forwarding/stagetimes.py
@@ -36,7 +36,7 @@
         return number < len(self.request.pieces) and self.request.pieces[number] > 0
 
     def following_ms(self, number: int) -> float:
-        """Return the approximate time of the longest chain of stages after one, in milliseconds."""
+        """Return the approximate time of the longest chain of later stages, in milliseconds."""
         following = [n for n, stage in enumerate(self.route.stages) if number in stage.after]
         return max((self.stage_ms(n) + self.following_ms(n) for n in following), default=0.0)
 
--- a/packages/core/src/mountladder/forwarding/streamrun.py
+++ b/packages/core/src/mountladder/forwarding/streamrun.py
@@ -1,4 +1,4 @@
-# streamrun.py -- Execution of a forwarded request with a streamed answer
+# streamrun.py -- Executes a forwarded request with a streamed answer
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
--- a/packages/core/src/mountladder/forwarding/target.py
+++ b/packages/core/src/mountladder/forwarding/target.py
@@ -1,8 +1,8 @@
-# target.py -- A service that a route sends a share of its requests to
+# target.py -- A service that gets a share of a route's requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A service that a route sends a share of its requests to."""
+"""A service that gets a share of a route's requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a route sends a share of its requests to.
+    """A service that gets a share of a route's requests.
 
     Attributes:
         service: The name of the service.
--- a/packages/core/src/mountladder/forwarding/upstream.py
+++ b/packages/core/src/mountladder/forwarding/upstream.py
@@ -72,7 +72,7 @@
     def free(
         self, server: BackendServer, handles: Sequence[str], on_notices: NoticeHandler
     ) -> None:
-        """Tell a server that results are no longer needed; failures are ignored.
+        """Release results at a server that are no longer needed; failures are ignored.
 
         Args:
             server: The server that holds the results.
--- a/packages/core/src/mountladder/forwarding/wholerun.py
+++ b/packages/core/src/mountladder/forwarding/wholerun.py
@@ -1,4 +1,4 @@
-# wholerun.py -- Execution of a forwarded request whose answer is buffered
+# wholerun.py -- Executes a forwarded request whose answer is buffered
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
--- a/packages/core/src/mountladder/limits/admission.py
+++ b/packages/core/src/mountladder/limits/admission.py
@@ -126,7 +126,7 @@
         waiting = self.teams_waiting()
 
         def weight(waiter: Waiter) -> tuple[float, int, float]:
-            """Return the sort key by which one is shed."""
+            """Return the sort key by which a waiting request is shed."""
             held = waiting[waiter.team.name] + self.running[waiter.team.name]
             return held / waiter.team.share, waiter.urgency, waiter.latest
 
--- a/packages/core/src/mountladder/limits/retrybudget.py
+++ b/packages/core/src/mountladder/limits/retrybudget.py
@@ -25,7 +25,7 @@
         self.balance = min(self.reserve, self.balance + self.ratio)
 
     def spend(self) -> bool:
-        """Take one retry out of the budget; return whether it had one."""
+        """Take one retry out of the budget; return whether the budget allowed it."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/packages/core/src/mountladder/limits/windowbudget.py
+++ b/packages/core/src/mountladder/limits/windowbudget.py
@@ -40,7 +40,7 @@
         self.requests.append(self.clock.now())
 
     def spend(self) -> bool:
-        """Take one retry out of the budget; return whether it had one."""
+        """Take one retry out of the budget; return whether the budget allowed it."""
         now = self.clock.now()
         self.expire(self.requests, now)
         self.expire(self.retries, now)
--- a/packages/core/src/mountladder/notices/noticeregistry.py
+++ b/packages/core/src/mountladder/notices/noticeregistry.py
@@ -34,7 +34,7 @@
     """Holds the latest shared notice of each kind and server, from answers to any instance.
 
     A notice in an answer is announced to all instances at once, and an instance for which it is a
-    change forwards it. Forwarding ends: each hop adds to the uncertainty about which of two
+    change forwards it. Forwarding terminates: each hop adds to the uncertainty about which of two
     notices is newer, and where that is uncertain all instances keep the same one of the two.
 
     Args:
--- a/packages/core/src/mountladder/notices/servernotice.py
+++ b/packages/core/src/mountladder/notices/servernotice.py
@@ -22,7 +22,7 @@
     request and the arrival of the answer.
 
     Attributes:
-        server: The name of the server; each start of a server has a name of its own.
+        server: The name of the server; each incarnation of a server has its own name.
         notice: The notice.
         sent_at: When the answered request was sent, in the clock's milliseconds.
         seen_at: When the answer arrived, in the clock's milliseconds.
--- a/packages/core/src/mountladder/quarantine/fingerprint.py
+++ b/packages/core/src/mountladder/quarantine/fingerprint.py
@@ -9,7 +9,7 @@
 import hashlib
 from collections.abc import Sequence
 
-# With 16 bytes, two different requests among all that a fleet takes in a year collide with a
+# With 16 bytes, two different requests among all that a fleet receives in a year collide with a
 # probability of about 1e-16.
 DIGEST_BYTES = 16
 # Separator of the hashed texts; none of them can contain it.
--- a/packages/core/src/mountladder/quarantine/quarantine.py
+++ b/packages/core/src/mountladder/quarantine/quarantine.py
@@ -91,7 +91,7 @@
             fingerprint=fingerprint,
             servers=[one.server for one in known.crashes],
             bars=known.bars,
-            left_ms=round(left_ms),
+            remaining_ms=round(left_ms),
         )
         detail = f"{len(known.crashes)} servers crashed while running it"
         raise RefusalError(detail, Code.QUARANTINED, retry_after_ms=left_ms)
@@ -122,7 +122,7 @@
         Args:
             fingerprint: The hash that all attempts at the same request share.
             request: The caller's id of this attempt.
-            left_ms: How long it can wait at most.
+            left_ms: The maximum wait, in milliseconds.
 
         Raises:
             RefusalError: The request is barred.
--- a/packages/core/src/mountladder/quarantine/serverlisting.py
+++ b/packages/core/src/mountladder/quarantine/serverlisting.py
@@ -12,7 +12,7 @@
 
 
 class ServerListing(ABC):
-    """The list of servers that an instance follows, as far as it shows crashes and shutdowns."""
+    """The list of servers that an instance follows, for detecting crashes and shutdowns."""
 
     @abstractmethod
     def is_shutting_down(self, server: BackendServer) -> bool:
@@ -24,7 +24,7 @@
 
     @abstractmethod
     def incarnation_name(self, server: BackendServer, crashed_at: float) -> str:
-        """Return a name for the crashed incarnation of a server that no other one shares."""
+        """Return a name for the crashed incarnation of a server, unique among incarnations."""
 
     @abstractmethod
     def service(self, server: BackendServer) -> str:
--- a/packages/core/src/mountladder/quarantine/suspicion.py
+++ b/packages/core/src/mountladder/quarantine/suspicion.py
@@ -71,12 +71,12 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Return whether any server crashed under it since it was cleared."""
+        """Return whether any server crashed under the request since it was cleared."""
         return bool(self.crashes)
 
     @property
     def is_persisted(self) -> bool:
-        """Return whether it is persisted, to survive a loss of all instances.
+        """Return whether the suspicion is persisted, to survive a loss of all instances.
 
         A single crash may be chance and would keep an unaffected request suspect. Each further
         independent crash that is forgotten costs another server.
@@ -85,20 +85,20 @@
 
     @property
     def changed_at(self) -> float:
-        """Return when it last changed: the latest crash, clearing or bar."""
+        """Return the time of the latest crash, clearing or bar."""
         crashed_at = self.crashes[-1].at if self.crashes else NEVER
         return max(crashed_at, self.cleared_at, self.barred_at)
 
     @property
     def barred_until(self) -> float:
-        """Return until when it is barred; NEVER if it is not."""
+        """Return until when the request is barred; NEVER if it is not."""
         if not self.crashes or not self.bars:
             return NEVER
         return self.barred_at + BAR_DURATIONS_MS[min(self.bars, len(BAR_DURATIONS_MS)) - 1]
 
     @property
     def expires_at(self) -> float:
-        """Return when it may be dropped."""
+        """Return when the suspicion may be dropped."""
         if self.bars:
             return self.barred_until + BAR_MEMORY_MS
         return self.changed_at + (SUSPECT_TTL_MS if self.is_suspect else CLEARED_TTL_MS)
@@ -110,14 +110,14 @@
         return self.sent_at
 
     def wait_until(self) -> float:
-        """Return until when other copies wait for one in flight; NEVER if none is."""
+        """Return until when other copies wait for the copy in flight; NEVER if none is."""
         if self.in_flight_since() == NEVER:
             return NEVER
         longest_ms = max(one.ran_ms for one in self.crashes)
         return self.in_flight_since() + min(MAX_WAIT_MS, WAIT_FACTOR * longest_ms + DISPATCH_MS)
 
     def independent_crashes(self) -> tuple[ServerCrash, ...]:
-        """Return the crashes without those that share a cause with the one before."""
+        """Return the crashes without those that share a cause with the previous crash."""
         independent: list[ServerCrash] = []
         for one in self.crashes:
             if not independent or one.at - independent[-1].at > COMMON_CAUSE_MS:
@@ -125,11 +125,11 @@
         return tuple(independent)
 
     def lacks(self, other: Suspicion) -> bool:
-        """Return whether another one of the same request has an update that this one lacks."""
+        """Return whether another suspicion of the request has an update that this one lacks."""
         return self.lacks_outcome(other) or other.sent_at > self.sent_at + SAME_SEND_MS
 
     def lacks_outcome(self, other: Suspicion) -> bool:
-        """Return whether another one has a crash, bar or clearing that this one lacks.
+        """Return whether another suspicion has a crash, bar or clearing that this one lacks.
 
         Each link adds its delay to the ages in messages, so the same event arrives with different
         times. A send is therefore announced only by the instance that makes it and is not passed
@@ -144,14 +144,14 @@
         return crashed or barred or self.is_cleared_by(other)
 
     def is_cleared_by(self, other: Suspicion) -> bool:
-        """Return whether another one records a clearing of crashes that this one still holds."""
+        """Return whether another suspicion clears crashes that this one still holds."""
         if not self.crashes:
             return False
         named = any(one.server in other.cleared for one in self.crashes)
         return named or other.cleared_at >= self.crashes[-1].at
 
     def merged(self, other: Suspicion) -> Suspicion:
-        """Return the union of both, without cleared crashes."""
+        """Return the union of both suspicions, without cleared crashes."""
         cleared_at = max(self.cleared_at, other.cleared_at)
         both = (*other.crashes, *self.crashes)
         cleared = {one.server for one in both if one.at <= cleared_at}
--- a/packages/core/src/mountladder/requests/configuredlisting.py
+++ b/packages/core/src/mountladder/requests/configuredlisting.py
@@ -11,7 +11,7 @@
 
 
 class ConfiguredListing(ServerListing):
-    """Answers what is known about crashes of servers from the operators' configuration.
+    """The servers in the operators' configuration.
 
     A configured server keeps its name when it restarts, and the configuration does not show
     restarts. The name of a crashed incarnation therefore holds the time of the crash.
@@ -22,7 +22,7 @@
         return server.draining
 
     def is_unlisted(self, server: BackendServer) -> bool:
-        """Return False, since the configuration does not show it; see ServerListing."""
+        """Return False, since the configuration does not show restarts; see ServerListing."""
         return False
 
     def incarnation_name(self, server: BackendServer, crashed_at: float) -> str:
--- a/packages/core/src/mountladder/requests/reply.py
+++ b/packages/core/src/mountladder/requests/reply.py
@@ -1,8 +1,8 @@
-# reply.py -- How a request is answered
+# reply.py -- Reply to a request: a stored answer, the issuer of its key, or a run
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How a request is answered."""
+"""Reply to a request: a stored answer, the issuer of its key, or a run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """How a request is answered: by a stored answer, by another instance, or by a run.
+    """Reply to a request: a stored answer, the instance that issued its key, or a run.
 
     Attributes:
         request: The request.
--- a/packages/core/src/mountladder/requests/runcontext.py
+++ b/packages/core/src/mountladder/requests/runcontext.py
@@ -31,7 +31,7 @@
         follower: The configuration in force.
         router: Chooses servers.
         backend: Calls servers.
-        costs: The learnt times of stages.
+        costs: The learned durations of stages.
         ledger: Accumulates cost.
         metrics: Receives the metrics.
         quarantine: Bars requests that crash servers.
--- a/packages/core/src/mountladder/requests/stageplan.py
+++ b/packages/core/src/mountladder/requests/stageplan.py
@@ -51,7 +51,7 @@
     """Return the time budget of a stage, in milliseconds.
 
     Args:
-        costs: The learnt times.
+        costs: The learned durations of stages.
         pipeline: The pipeline.
         stage: The stage about to run.
         remaining_stages: The stages not yet run, this one included.
--- a/packages/core/src/mountladder/routing/candidate.py
+++ b/packages/core/src/mountladder/routing/candidate.py
@@ -17,7 +17,7 @@
 
     Attributes:
         state: The instance's view of the server.
-        unloaded_ms: The learnt time of this call on the unloaded server, in milliseconds.
+        unloaded_ms: The learned time of this call on the unloaded server, in milliseconds.
         load_factor: The factor by which its estimated load lengthens the call, at least 1.
         slowness: The ratio of its observed to its expected call times, at least 1.
         delay_ms: The time that a call to another data centre adds, in milliseconds.
--- a/packages/core/src/mountladder/routing/costmodel.py
+++ b/packages/core/src/mountladder/routing/costmodel.py
@@ -18,6 +18,8 @@
 class CostModel:
     """Learns how long a stage takes on an unloaded server, by accelerator and input length.
 
+    The cost of a call is its duration here, not its price.
+
     Input lengths are grouped into classes of powers of two. A class without measurements on an
     accelerator takes the time of the nearest class that has some, scaled by the ratio of the two
     classes on another accelerator, where one has measurements of both.
--- a/packages/core/src/mountladder/routing/prefillspeed.py
+++ b/packages/core/src/mountladder/routing/prefillspeed.py
@@ -23,7 +23,7 @@
     streams, so that half of the estimates are met.
 
     Attributes:
-        tokens_per_ms: The learnt speed.
+        tokens_per_ms: The learned speed.
     """
 
     def __init__(self) -> None:
--- a/packages/core/src/mountladder/routing/router.py
+++ b/packages/core/src/mountladder/routing/router.py
@@ -40,7 +40,7 @@
     Args:
         clock: The clock.
         rng: The source of randomness.
-        costs: The learnt times of stages.
+        costs: The learned durations of stages.
         policy: The policy that chooses among candidates.
         metrics: Counts ejections.
         datacentre: The instance's data centre, or an empty string to treat all as local.
@@ -251,7 +251,8 @@
     def backoff_ms(self, servers: Iterable[BackendServer]) -> float:
         """Return how long it takes until the first of the servers ends its back-off, or 0.
 
-        It is 0 where some server has asked for none, or where no servers are given."""
+        It is 0 if a server has not asked for a back-off, or if no servers are given.
+        """
         now = self.clock.now()
         least_ms = math.inf
         for server in servers:
--- a/packages/core/src/mountladder/routing/serverstate.py
+++ b/packages/core/src/mountladder/routing/serverstate.py
@@ -59,13 +59,13 @@
         self.backoff_until = 0.0
 
     def load(self, now: float) -> float:
-        """Return the estimated number of calls it has in flight at a time, from all instances."""
+        """Return the estimated number of calls in flight at the server, from all instances."""
         assumed = self.peers * self.mean_running_at(now)
         report_weight = 0.5 ** ((now - self.reported_at) / LOAD_HALF_LIFE_MS)
         return self.running + max(assumed, self.others_running * report_weight)
 
     def mean_running_at(self, now: float) -> float:
-        """Return the moving average of this instance's calls there at a time."""
+        """Return the moving average of the calls that this instance has in flight there."""
         weight = 0.5 ** ((now - self.mean_updated_at) / AVERAGE_HALF_LIFE_MS)
         return self.running + (self.mean_running - self.running) * weight
 
@@ -76,40 +76,40 @@
         self.running += change
 
     def load_factor(self, now: float) -> float:
-        """Return the factor by which its estimated load lengthens one more call, at least 1."""
+        """Return the factor by which the server's load lengthens a new call, at least 1."""
         return max(1.0, (self.load(now) + 1) / self.server.slots)
 
     def slowness_at(self, now: float) -> float:
-        """Return its slowness at a time, which decays so that a slow server is tried again."""
+        """Return the server's slowness, which decays so that a slow server is tried again."""
         if self.slowness <= 1.0:
             return 1.0
         decay = 0.5 ** ((now - self.slowness_updated_at) / SLOWNESS_HALF_LIFE_MS)
         return 1.0 + (self.slowness - 1.0) * decay
 
     def usable(self, now: float, model: str = "") -> bool:
-        """Return whether this instance may send it new work for a model."""
+        """Return whether this instance may send the server new work for a model."""
         return now >= self.backoff_until and self.in_use(now, model)
 
     def in_use(self, now: float, model: str = "") -> bool:
-        """Return whether it accepts new work for a model, regardless of back-offs it asked for."""
+        """Return whether the server accepts new work for a model, regardless of back-offs."""
         if now < self.leaving_until or now < self.missing_until.get(model, 0.0):
             return False
         return self.breaker.allows(now)
 
     def record_missing_model(self, model: str, now: float) -> None:
-        """Record that it answered that it does not have a model loaded."""
+        """Record that the server answered that it does not have a model loaded."""
         self.missing_until[model] = now + MISSING_MODEL_MS
 
     def back_off(self, for_ms: float, now: float) -> None:
-        """Record that it asked this instance to send nothing for a time from now on.
+        """Record that the server asked this instance to send nothing for a time from now on.
 
-        A later answer never shortens a back-off that it asked for before.
+        A later answer never shortens an earlier back-off.
         """
         self.backoff_since = now
         self.backoff_until = max(self.backoff_until, now + for_ms)
 
     def backoff_ms(self, now: float) -> float:
-        """Return the rest of its back-off for this instance, in milliseconds, or 0."""
+        """Return the remaining back-off for this instance, in milliseconds, or 0."""
         return max(0.0, self.backoff_until - now)
 
     def begin(self, now: float) -> None:
@@ -130,7 +130,8 @@
     def record_load_factor(self, load_factor: float, now: float) -> None:
         """Update the load from the load factor that a call of this instance observed.
 
-        A factor close to 1 only shows that its slots are not exceeded."""
+        A factor close to 1 only shows that the server's slots are not exceeded.
+        """
         if load_factor > MIN_NOTICED_LOAD_FACTOR:
             self.record_load(load_factor * self.server.slots, now)
         else:
@@ -144,5 +145,5 @@
         self.slowness_updated_at = now
 
     def mark_leaving(self, now: float) -> None:
-        """Record that it announced that it is leaving."""
+        """Record that the server announced that it is leaving."""
         self.leaving_until = now + LEAVING_MS
--- a/packages/core/src/mountladder/runtime.py
+++ b/packages/core/src/mountladder/runtime.py
@@ -292,7 +292,7 @@
         cut = self.admission.total
         self.try_flush_cost()
         self.stack.close()
-        log_message("stopped", instance=self.me.name, cut=cut)
+        log_message("stopped", instance=self.me.name, aborted=cut)
         return cut
 
     def try_announce_leaving(self) -> None:
--- a/packages/core/src/mountladder/store/memoryinstancelist.py
+++ b/packages/core/src/mountladder/store/memoryinstancelist.py
@@ -1,8 +1,8 @@
-# memoryinstancelist.py -- An in-memory list of instances that lags
+# memoryinstancelist.py -- An in-memory list of instances that shows changes with a delay
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An in-memory list of instances that lags."""
+"""An in-memory list of instances that shows changes with a delay."""
 
 from __future__ import annotations
 
--- a/packages/core/src/mountladder/store/platform.py
+++ b/packages/core/src/mountladder/store/platform.py
@@ -1,8 +1,8 @@
-# platform.py -- The platform's services, as given to one process
+# platform.py -- Bundle of the interfaces to the platform's services
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform's services, as given to one process."""
+"""Bundle of the interfaces to the platform's services."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """The platform's services, by their interfaces.
+    """The interfaces through which a process reaches the platform's services.
 
     Attributes:
         table: The transactional table service.
--- a/packages/core/src/mountladder/store/row.py
+++ b/packages/core/src/mountladder/store/row.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row as it was read.
+    """A row of the table service, as it was read.
 
     Attributes:
         key: The row's key.
--- a/packages/entry/src/mountladder_entry/main.py
+++ b/packages/entry/src/mountladder_entry/main.py
@@ -1,8 +1,8 @@
-# main.py -- The command mountladderd
+# main.py -- Command line of mountladderd, the entry instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The command mountladderd."""
+"""Command line of mountladderd, the entry instance."""
 
 import gc
 
@@ -30,7 +30,7 @@
 
 @click.command()
 @click.argument("settings", type=click.Path(path_type=Path), required=False)
-@click.option("--check", is_flag=True, help="Check the settings and end.")
+@click.option("--check", is_flag=True, help="Check the settings and exit.")
 @click.option("--adapter", metavar="MODULE", help="Serve on a platform through its adapter.")
 def main(settings: Path | None, check: bool, adapter: str | None) -> None:
     """Run an entry instance of mountladder in the foreground.
--- a/packages/entry/src/mountladder_entry/operators.py
+++ b/packages/entry/src/mountladder_entry/operators.py
@@ -83,7 +83,7 @@
         if server.draining:
             why = "an operator is draining it"
         elif now < state.leaving_until:
-            why = "it said it is leaving"
+            why = "it announced that it is leaving"
         elif not state.breaker.allows(now):
             why = f"it failed {state.breaker.failures} times in a row"
         rows.append(
