--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -173,7 +173,7 @@
             answer,
         )
         registry.begin(record)
-        registry.end(record)
+        registry.record_outcome(record)
     return registry
 
 
--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -226,7 +226,7 @@
 @then("it is read, not fetched")
 def read_not_fetched(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
-    assert context.reply.read == PROMPT.tokens
+    assert context.reply.prefill_tokens == PROMPT.tokens
 
 
 @given("a result of a server in each data centre")
--- a/features/steps/faultrun_steps.py
+++ b/features/steps/faultrun_steps.py
@@ -92,7 +92,7 @@
 
 
 def without_claim(self, request):
-    return KeyDecision(run=self.record_running(request))
+    return KeyDecision(record=self.record_running(request))
 
 
 def every_server(self, stage, team):
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -407,7 +407,7 @@
 
 @then("it goes to the first data centre and fetches {tokens:d} tokens")
 def fetches(context, tokens):
-    assert (context.reply.server, context.reply.read) == ("llm-1", context.own)
+    assert (context.reply.server, context.reply.prefill_tokens) == ("llm-1", context.own)
     assert context.reply.source == "10.0.0.2:80"
     assert tokens == context.shared.tokens
 
@@ -416,18 +416,18 @@
 def reads_all(context):
     whole = context.own + context.shared.tokens
     assert (context.reply.server, context.reply.source) == ("llm-1", ""), context.reply
-    assert context.reply.read == whole
+    assert context.reply.prefill_tokens == whole
 
 
 @then("it goes to the second data centre and reads its own tokens")
 def reads_own(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
-    assert context.reply.read == context.own
+    assert context.reply.prefill_tokens == context.own
 
 
 @then("it is expected to read {tokens:d} tokens")
 def expected_to_read(context, tokens):
-    assert context.reply.read == tokens
+    assert context.reply.prefill_tokens == tokens
 
 
 @given("engines that really read {speed:g} tokens a millisecond")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -568,7 +568,7 @@
     )
     unreachable = MemorySuspicionStore()
     unreachable.down = True
-    instances[context.sent_to].bar_keeper.store = unreachable
+    instances[context.sent_to].suspicion_persister.store = unreachable
 
 
 @when("a deadly stream request comes {times:d} times every {ms:d} ms, each time at that instance")
@@ -606,7 +606,7 @@
     now = context.clock.now()
     for n in range(number):
         suspicion = Suspicion(f"{n:032x}", "llm", (), now, NEVER, 1, now)
-        instance.bar_keeper.queue_bar(suspicion, seen_here=True)
+        instance.suspicion_persister.queue_bar(suspicion, seen_here=True)
 
 
 @then("the table of bars holds {number:d} within {ms:d} ms")
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -56,7 +56,7 @@
 def limit_runs(context, ms):
     def limited():
         try:
-            with context.clock.limit(float(ms)):
+            with context.clock.time_limit(float(ms)):
                 Event().wait()
         except WaitTimeoutError:
             return
--- a/packages/core/src/mountladder/claims/idempotency.py
+++ b/packages/core/src/mountladder/claims/idempotency.py
@@ -133,7 +133,7 @@
         too_old = self.clock.now() - issued.at_ms > ISSUED_KEY_TTL_MS
         if too_old or issued.at_ms <= self.evicted_until:
             raise RunError("", Code.KEY_EXPIRED)
-        return KeyDecision(run=self.record_running(request))
+        return KeyDecision(record=self.record_running(request))
 
     def decide_claimed(self, request: Request) -> KeyDecision:
         """Claim a caller's own key in the store and decide on its request."""
@@ -156,7 +156,7 @@
             raise
         self.versions[record.key] = version
         self.metrics.count(Metric.CLAIMS)
-        return KeyDecision(run=record)
+        return KeyDecision(record=record)
 
     def note_evicted(self, key: str) -> None:
         """Note that the record of a key was evicted.
@@ -205,7 +205,7 @@
         self.check_fingerprint(known, request)
         if known.state is KeyState.DONE and known.answer is not None:
             self.metrics.count(Metric.REPLAYED)
-            return KeyDecision(replay=known.answer)
+            return KeyDecision(stored_answer=known.answer)
         if known.state is KeyState.FAILED and known.code is not None:
             raise RunError(known.detail, known.code)
         if known.state is KeyState.RUNNING and self.alive(known.incarnation):
@@ -219,7 +219,7 @@
 
     def finish(self, record: KeyRecord, answer: bytes) -> None:
         """Record a complete answer, in memory at once and in the store in the background."""
-        self.end(dataclasses.replace(record, state=KeyState.DONE, answer=answer))
+        self.record_outcome(dataclasses.replace(record, state=KeyState.DONE, answer=answer))
 
     def fail(self, record: KeyRecord, error: MountladderError, dispatched: bool) -> None:
         """Record a failure, or release the key if no stage of the request was dispatched."""
@@ -228,11 +228,13 @@
             return
         lost = error.code.result is not ResultClass.FAILED
         state = KeyState.UNKNOWN if lost else KeyState.FAILED
-        self.end(dataclasses.replace(record, state=state, code=error.code, detail=error.detail))
+        self.record_outcome(
+            dataclasses.replace(record, state=state, code=error.code, detail=error.detail)
+        )
 
-    def end(self, record: KeyRecord) -> None:
+    def record_outcome(self, record: KeyRecord) -> None:
         """Record the outcome of a request that ran."""
-        self.registry.end(record)
+        self.registry.record_outcome(record)
         version = self.versions.pop(record.key, None)
         write = Write(claim_key(record.key), record.encode(), version)
         self.tasks.spawn(self.try_write, write)
--- a/packages/core/src/mountladder/claims/keydecision.py
+++ b/packages/core/src/mountladder/claims/keydecision.py
@@ -17,11 +17,11 @@
     """How to handle a non-idempotent request; exactly one field is set.
 
     Attributes:
-        run: The record under which to run it here.
-        replay: The stored answer to return, as JSON.
+        record: The record under which to run it here.
+        stored_answer: The stored answer to return, as JSON.
         issued_key: The issued key, if the request must be passed to the instance that issued it.
     """
 
-    run: KeyRecord | None = None
-    replay: bytes | None = None
+    record: KeyRecord | None = None
+    stored_answer: bytes | None = None
     issued_key: IssuedKey | None = None
--- a/packages/core/src/mountladder/claims/keyregistry.py
+++ b/packages/core/src/mountladder/claims/keyregistry.py
@@ -72,7 +72,7 @@
         if event is not None:
             self.clock.wait(event, delay_ms)
 
-    def end(self, record: KeyRecord) -> None:
+    def record_outcome(self, record: KeyRecord) -> None:
         """Record the outcome of the request of a key."""
         self.records[record.key] = record
         self.finished_at[record.key] = self.clock.now()
--- a/packages/core/src/mountladder/clocks/clock.py
+++ b/packages/core/src/mountladder/clocks/clock.py
@@ -60,7 +60,7 @@
         return event.is_set()
 
     @contextmanager
-    def limit(self, delay_ms: float) -> Iterator[None]:
+    def time_limit(self, delay_ms: float) -> Iterator[None]:
         """Raise WaitTimeoutError in the calling task if the block exceeds a time limit."""
         task = gevent.getcurrent()
         loop = gevent.get_hub().loop
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -92,7 +92,7 @@
         self.notices = notices
         self.catalogue = catalogue
         self.upstream = upstream
-        self.ends = quarantine.detector
+        self.detector = quarantine.detector
         self.quarantine = quarantine.registry
         self.budget = budget
         self.clock = clock
--- a/packages/core/src/mountladder/forwarding/batchrun.py
+++ b/packages/core/src/mountladder/forwarding/batchrun.py
@@ -236,7 +236,7 @@
             for job in jobs.values()
             if job.fingerprint
         ]
-        self.batcher.ends.investigate(self.state.server, interruptions)
+        self.batcher.detector.investigate(self.state.server, interruptions)
 
     def repeat(self, progress: JobProgress, fragment: int, result: PieceResult) -> None:
         """Requeue a piece, or settle it as failed if no attempt or retry budget is left."""
--- a/packages/core/src/mountladder/forwarding/coldservers.py
+++ b/packages/core/src/mountladder/forwarding/coldservers.py
@@ -80,11 +80,11 @@
         """
         if self.directory.cold_until.get(server.labels[ID_LABEL], -math.inf) > now:
             return True
-        returned_at = self.directory.drains.undrained_at.get(server.datacentre)
-        if returned_at is None:
+        undrained_at = self.directory.drains.undrained_at.get(server.datacentre)
+        if undrained_at is None:
             return False
         service = self.follower.service(server.labels[SERVICE_LABEL])
-        return service is not None and returned_at + service.cold_ms > now
+        return service is not None and undrained_at + service.cold_ms > now
 
     def warm(self, servers: tuple[BackendServer, ...]) -> tuple[BackendServer, ...]:
         """Return the servers that are not cold."""
--- a/packages/core/src/mountladder/forwarding/directory.py
+++ b/packages/core/src/mountladder/forwarding/directory.py
@@ -222,7 +222,9 @@
     def rebuild(self) -> None:
         """Recompute the available servers of each service and notify the listeners."""
         records = [*self.records.values(), *(record for record, _ in self.expiring.values())]
-        listed = [one for one in records if one.server is not None and self.is_open(one.server)]
+        listed = [
+            one for one in records if one.server is not None and self.accepts_work(one.server)
+        ]
         staying = [one for one in listed if self.leaving_since(one.server.name) is None]
         self.services = _by_service(self.just_leaving(listed)) | _by_service(staying)
         self.reachable = {
@@ -249,7 +251,7 @@
         self.rebuild_at = min((at for at in until.values() if at > now), default=math.inf)
         return [one for one in records if until.get(one.id, now) > now]
 
-    def is_open(self, server: BackendServer) -> bool:
+    def accepts_work(self, server: BackendServer) -> bool:
         """Return whether new work may be sent to a listed server."""
         return not server.draining and not self.drains.is_drained(server.datacentre)
 
--- a/packages/core/src/mountladder/forwarding/fleet.py
+++ b/packages/core/src/mountladder/forwarding/fleet.py
@@ -63,7 +63,7 @@
         coordinators: Finds the coordinator of each topic.
         division: Decides which services each data centre coordinates by itself.
         peer_gone: Called with each link that a peer had opened, when it closes.
-        eras: Detects that the store was restored from an older copy.
+        era_tracker: Detects that the store was restored from an older copy.
         backlogs: Returns how long pieces wait at the services that this instance coordinates.
         on_backlog: Called with the backlog of a service that a peer coordinates, and the peer's
             data centre.
@@ -84,7 +84,7 @@
         super().__init__(membership, network, clock, metrics, seeds)
         self.follower = follower
         self.directory = directory
-        self.eras = EraTracker()
+        self.era_tracker = EraTracker()
         self.transfer = CatalogueTransfer(follower, clock, self.send)
         self.ranking = Ranking(membership)
         self.division = Division(directory, membership.me.datacentre)
@@ -263,7 +263,7 @@
         self.membership.mark_alive(link.peer, message.leaving)
         self.reader_election.record(link.peer, message)
         self.directory.drains.apply(message.drains, source)
-        self.eras.observe(message.directory.era, source)
+        self.era_tracker.observe(message.directory.era, source)
         if (
             message.reads_store
             and message.store_answers
--- a/packages/core/src/mountladder/forwarding/forwarder.py
+++ b/packages/core/src/mountladder/forwarding/forwarder.py
@@ -84,10 +84,10 @@
             route_priority=route.priority,
             aim_ms=round(route.target_ms),
             comes_back=run.is_returning,
-            fingerprint=run.case.fingerprint,
+            fingerprint=run.tracked.fingerprint,
         )
         services = {stage.service for stage in route.stages}
-        run.case.check(services)
+        run.tracked.check(services)
         for service in (*services, run.service):
             self.context.picker.check_servers(service)
         return run
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -144,7 +144,9 @@
         self.dispatch = StageDispatch(self.fleet, self.make_batcher, clock)
         self.directory.listeners.append(self.pump_batchers)
         self.forwarder = Forwarder(self.make_context(picker))
-        applier = PageApplier(self.tables, self.follower, self.directory, self.fleet.eras, clock)
+        applier = PageApplier(
+            self.tables, self.follower, self.directory, self.fleet.era_tracker, clock
+        )
         self.catalogue_source = self.make_follower(
             "catalogue", self.tables.catalogue, applier.apply_catalogue
         )
@@ -154,7 +156,7 @@
         self.directory_source.on_reachable = self.directory.mark_store_reachable
         self.member_reader = MemberReader(self.tables.instances, self.fleet, clock)
         self.fleet.is_store_answering = self.follows_store
-        self.follower.is_feed_live = self.is_fed
+        self.follower.is_feed_live = self.is_feed_live
 
     def build_quarantine(self, upstream: Upstream) -> None:
         """Create and connect the components that track which requests crash servers."""
@@ -169,10 +171,10 @@
         self.directory.listeners.append(self.quarantine.detector.check_listing)
         registry, reader_election = self.quarantine.registry, self.fleet.reader_election
         registry.on_server_crashed = self.disable_server
-        self.bar_keeper = SuspicionPersister(
-            self.tables.bars, registry, reader_election, self.clock
+        self.suspicion_persister = SuspicionPersister(
+            self.tables.suspicion_store, registry, reader_election, self.clock
         )
-        self.fleet.eras.listeners.append(self.bar_keeper.rewrite_recent)
+        self.fleet.era_tracker.listeners.append(self.suspicion_persister.rewrite_recent)
 
     def disable_server(self, name: str) -> None:
         """Stop using a server that has crashed, whichever instance noticed it."""
@@ -239,7 +241,7 @@
         for batcher in self.dispatch.batchers.values():
             batcher.pump()
 
-    def is_fed(self) -> bool:
+    def is_feed_live(self) -> bool:
         """Return whether catalogue updates would reach this instance.
 
         That needs a live peer, unless no peer is known, and a store that answers here or at a peer.
@@ -269,7 +271,7 @@
             self.catalogue_source.run,
             self.directory_source.run,
             self.member_reader.run,
-            self.bar_keeper.run,
+            self.suspicion_persister.run,
             self.keep_announcing,
             self.keep_checking_reachability,
             self.fleet.run,
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -55,7 +55,7 @@
         gives_way: Whether it cannot meet its latency target, so that its stages run after those of
             requests that can.
         cancel_release: Cancels the scheduled release of stage results.
-        case: The request as tracked by the quarantine.
+        tracked: The request as tracked by the quarantine.
         reservation: Chooses servers and waits for a slot at those that limit their request rate.
     """
 
@@ -87,7 +87,7 @@
         self.gives_way = False
         self.reservation = Reservation(self)
         texts = (self.team, request.method, request.host, request.target)
-        self.case = context.quarantine.track(request.id, texts, request.body)
+        self.tracked = context.quarantine.track(request.id, texts, request.body)
         context.budget(self.service).earn()
 
     @property
@@ -119,7 +119,7 @@
             self.context.clock,
             self.answer_target_ms(),
             is_first,
-            self.case.fingerprint,
+            self.tracked.fingerprint,
         )
         try:
             inputs = self.flow.run()
@@ -219,7 +219,7 @@
         self.context.picker.failed(
             attempt.picked, self.request, self.service, error.code, elapsed_ms
         )
-        self.case.failed(attempt.choice.state.server, attempt.started, error)
+        self.tracked.failed(attempt.choice.state.server, attempt.started, error)
         self.excluded |= {attempt.server}
         self.possible_runs += error.dispatched
         self.connect_failures += error.code is Code.CONNECT_FAILED
--- a/packages/core/src/mountladder/forwarding/memberreader.py
+++ b/packages/core/src/mountladder/forwarding/memberreader.py
@@ -47,7 +47,7 @@
         self.clock = clock
         self.announced_at: float | None = None
         self.wake = Event()
-        fleet.eras.listeners.append(self.announce_again)
+        fleet.era_tracker.listeners.append(self.announce_again)
         fleet.on_link_opened = self.request_members
         fleet.subscribe(MemberList, self.receive)
 
--- a/packages/core/src/mountladder/forwarding/pageapplier.py
+++ b/packages/core/src/mountladder/forwarding/pageapplier.py
@@ -28,7 +28,7 @@
         tables: The tables and their decoders.
         follower: The catalogue in force.
         directory: The list of backend servers.
-        eras: Detects that the store was restored from an older copy.
+        era_tracker: Detects that the store was restored from an older copy.
         clock: The clock.
     """
 
@@ -37,13 +37,13 @@
         tables: PlatformTables,
         follower: CatalogueFollower,
         directory: Directory,
-        eras: EraTracker,
+        era_tracker: EraTracker,
         clock: Clock,
     ) -> None:
         self.tables = tables
         self.follower = follower
         self.directory = directory
-        self.eras = eras
+        self.era_tracker = era_tracker
         self.clock = clock
 
     def apply_catalogue(self, page: SourcePage, whole: bool) -> None:
@@ -52,7 +52,7 @@
         Drains are applied first, so that no work is routed by the new catalogue before they are
         known.
         """
-        self.eras.observe(page.position.era, STORE)
+        self.era_tracker.observe(page.position.era, STORE)
         self.apply_drains(page, whole)
         for row in page.rows:
             if row.value is not None and self.tables.is_catalogue(row.key):
@@ -73,7 +73,7 @@
 
     def apply_servers(self, page: SourcePage, whole: bool) -> None:
         """Apply a page of the table of backend servers."""
-        self.eras.observe(page.position.era, STORE)
+        self.era_tracker.observe(page.position.era, STORE)
         records = []
         for row in page.rows:
             try:
--- a/packages/core/src/mountladder/forwarding/partitiondetector.py
+++ b/packages/core/src/mountladder/forwarding/partitiondetector.py
@@ -63,8 +63,8 @@
         """Return the time since an instance of a data centre sent something; 0 if never."""
         there = (one for one in self.membership.known.values() if one.datacentre == datacentre)
         silences = [self.membership.silence_ms(one) for one in there]
-        heard = [one for one in silences if one != float("inf")]
-        return min(heard, default=0.0)
+        measured = [one for one in silences if one != float("inf")]
+        return min(measured, default=0.0)
 
     def record_report(self, name: str, datacentres: Iterable[str]) -> None:
         """Record which data centres another instance of this data centre found unreachable."""
--- a/packages/core/src/mountladder/forwarding/piecequeue.py
+++ b/packages/core/src/mountladder/forwarding/piecequeue.py
@@ -176,8 +176,8 @@
         preferred = progress.job.datacentre
         if preferred in {"", state.server.datacentre} or preferred not in served_datacentres:
             return True
-        left_ms = progress.job.due - now
-        if limits.call_ms < left_ms < LOCALITY_SLACK_CALLS * limits.expected_ms(limits.pieces):
+        remaining_ms = progress.job.due - now
+        if limits.call_ms < remaining_ms < LOCALITY_SLACK_CALLS * limits.expected_ms(limits.pieces):
             return True
         return now - progress.since >= value_for_rank(LOCALITY_WAIT_MS, progress.job.urgency)
 
--- a/packages/core/src/mountladder/forwarding/placementcoordinator.py
+++ b/packages/core/src/mountladder/forwarding/placementcoordinator.py
@@ -80,10 +80,10 @@
         """
         servers = self.directory.available(order.service)
         topic = prompts_topic(order.service)
-        restraints = ServerDelays(self.cold.cold(servers), self.limits.waits_ms(servers, topic))
-        chosen = self.choose(order, servers, restraints, topic)
+        delays = ServerDelays(self.cold.cold(servers), self.limits.waits_ms(servers, topic))
+        chosen = self.choose(order, servers, delays, topic)
         if chosen is None:
-            return self.reject(order, servers, restraints)
+            return self.reject(order, servers, delays)
         choice = chosen.choice
         server = choice.state.server.name
         plan = chosen.plan
@@ -93,29 +93,32 @@
         self.limits.record_sent(choice.state.server, topic)
         key = (owner, order.number)
         self.placed[key] = PlacedPrompt(
-            server, plan.read, choice.unloaded_ms, 0 if plan.source else ahead + plan.read
+            server,
+            plan.prefill_tokens,
+            choice.unloaded_ms,
+            0 if plan.source else ahead + plan.prefill_tokens,
         )
         self.prefilling.add(key)
-        self.placement.record_start(server, order.prompt, plan.read)
-        wait_ms = restraints.waits_ms.get(server, 0.0)
+        self.placement.record_start(server, order.prompt, plan.prefill_tokens)
+        wait_ms = delays.waits_ms.get(server, 0.0)
         return PlacementReply(
-            order.number, server, choice.expected_ms, plan.source, plan.read, wait_ms
+            order.number, server, choice.expected_ms, plan.source, plan.prefill_tokens, wait_ms
         )
 
     def choose(
         self,
         order: PlacementOrder,
         servers: Sequence[BackendServer],
-        restraints: ServerDelays,
+        delays: ServerDelays,
         topic: str,
     ) -> PromptChoice | None:
         """Return the server chosen for a prompt, or None if none accepts it."""
-        if restraints.all_limited(servers) and self.must_yield(order):
+        if delays.all_limited(servers) and self.must_yield(order):
             return None
-        wish = order.wish.without(self.cold.exhausted(servers, restraints.cold, topic))
+        constraints = order.constraints.without(self.cold.exhausted(servers, delays.cold, topic))
         service = self.follower.service(order.service)
         transfer = service.transfer if service else None
-        return self.placement.choose(servers, order.prompt, wish, transfer, restraints)
+        return self.placement.choose(servers, order.prompt, constraints, transfer, delays)
 
     def must_yield(self, order: PlacementOrder) -> bool:
         """Return whether a request must leave limited capacity to more urgent ones."""
@@ -123,14 +126,14 @@
         return schedule is not None and schedule.must_yield(order.urgency, self.clock.now())
 
     def reject(
-        self, order: PlacementOrder, servers: Sequence[BackendServer], restraints: ServerDelays
+        self, order: PlacementOrder, servers: Sequence[BackendServer], delays: ServerDelays
     ) -> PlacementReply:
         """Return a reply without a server, with the time to retry after if that is known."""
-        if not servers or not restraints.all_limited(servers):
+        if not servers or not delays.all_limited(servers):
             return PlacementReply(order.number, "", 0.0)
         topic = prompts_topic(order.service)
         schedule = self.retry_schedules.setdefault(order.service, RetrySchedule())
-        wait_ms = min(restraints.waits_ms.values()) - order.patience_ms
+        wait_ms = min(delays.waits_ms.values()) - order.max_wait_ms
         per_s = sum(self.limits.per_s(one, topic) for one in servers)
         retry_after_ms = schedule.add(order.urgency, wait_ms, per_s, self.clock.now())
         return PlacementReply(order.number, "", 0.0, wait_ms=retry_after_ms)
--- a/packages/core/src/mountladder/forwarding/placementorder.py
+++ b/packages/core/src/mountladder/forwarding/placementorder.py
@@ -22,7 +22,7 @@
         prompt: The prompt.
         excluded: Names of servers that the requesting instance excludes.
         site: The data centre that holds large inputs, or an empty string.
-        patience_ms: How long the request may wait for a rate-limited server, in milliseconds.
+        max_wait_ms: How long the request may wait for a rate-limited server, in milliseconds.
         urgency: The request's priority; 0 is the most urgent.
     """
 
@@ -31,12 +31,12 @@
     prompt: Prompt
     excluded: tuple[str, ...]
     site: str
-    patience_ms: float = 0.0
+    max_wait_ms: float = 0.0
     urgency: int = 0
 
     @property
-    def wish(self) -> ServerConstraints:
+    def constraints(self) -> ServerConstraints:
         """Return the constraints on the server."""
         return ServerConstraints(
-            frozenset(self.excluded), self.site, self.patience_ms, self.urgency
+            frozenset(self.excluded), self.site, self.max_wait_ms, self.urgency
         )
--- a/packages/core/src/mountladder/forwarding/placementreply.py
+++ b/packages/core/src/mountladder/forwarding/placementreply.py
@@ -18,7 +18,7 @@
         server: The name of the server, or an empty string if none was found.
         expected_ms: The expected time to the first event, in milliseconds.
         source: The address of the server to fetch cached prompt parts from, or an empty string.
-        read: The number of prompt tokens that the server is expected to prefill.
+        prefill_tokens: The number of prompt tokens that the server is expected to prefill.
         wait_ms: How long the request has to wait, in milliseconds, for a server that limits its
             request rate; without a server, the time to retry after, or 0 if unknown.
     """
@@ -27,5 +27,5 @@
     server: str
     expected_ms: float
     source: str = ""
-    read: int = 0
+    prefill_tokens: int = 0
     wait_ms: float = 0.0
--- a/packages/core/src/mountladder/forwarding/platformtables.py
+++ b/packages/core/src/mountladder/forwarding/platformtables.py
@@ -25,7 +25,7 @@
         catalogue: The table that holds the catalogue.
         servers: The table of backend servers.
         instances: The list of instances.
-        bars: The store of barred requests and strong suspects.
+        suspicion_store: The store of barred requests and strong suspects.
         is_catalogue: Returns whether a key of the first table is the catalogue's.
         decode_catalogue: Decodes a catalogue; raises BadRowError if it is malformed.
         decode_server: Decodes an entry of a backend server; raises BadRowError if it is malformed.
@@ -36,7 +36,7 @@
     catalogue: Source
     servers: Source
     instances: InstanceList
-    bars: SuspicionStore
+    suspicion_store: SuspicionStore
     is_catalogue: Callable[[str], bool]
     decode_catalogue: Callable[[bytes], Catalogue]
     decode_server: Callable[[SourceRow], ServerRecord]
--- a/packages/core/src/mountladder/forwarding/promptplacer.py
+++ b/packages/core/src/mountladder/forwarding/promptplacer.py
@@ -54,9 +54,9 @@
         fleet.subscribe(PlacementNote, self.handle_note)
         fleet.peer_gone.append(lambda link: coordinator.forget_owner(id(link)))
 
-    def place(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementReply:
+    def place(self, service: str, prompt: Prompt, constraints: ServerConstraints) -> PlacementReply:
         """Return the placement of a prompt; its number identifies the prompt until it ends."""
-        order = self.make_order(service, prompt, wish)
+        order = self.make_order(service, prompt, constraints)
         link = self.fleet.coordinator(prompts_topic(service))
         reply = self.ask(link, order) if link is not None else None
         if reply is None:
@@ -66,16 +66,24 @@
         return reply
 
     def place_locally(
-        self, service: str, prompt: Prompt, wish: ServerConstraints
+        self, service: str, prompt: Prompt, constraints: ServerConstraints
     ) -> PlacementReply:
         """Return a placement by what this instance alone knows; see place."""
-        return self.place_order(self.make_order(service, prompt, wish))
+        return self.place_order(self.make_order(service, prompt, constraints))
 
-    def make_order(self, service: str, prompt: Prompt, wish: ServerConstraints) -> PlacementOrder:
+    def make_order(
+        self, service: str, prompt: Prompt, constraints: ServerConstraints
+    ) -> PlacementOrder:
         """Return a new placement order; see place."""
-        number, excluded = next(self.numbers), tuple(wish.excluded)
+        number, excluded = next(self.numbers), tuple(constraints.excluded)
         return PlacementOrder(
-            number, service, prompt, excluded, wish.site, wish.max_wait_ms, wish.urgency
+            number,
+            service,
+            prompt,
+            excluded,
+            constraints.site,
+            constraints.max_wait_ms,
+            constraints.urgency,
         )
 
     def place_order(self, order: PlacementOrder) -> PlacementReply:
--- a/packages/core/src/mountladder/forwarding/prompttransfer.py
+++ b/packages/core/src/mountladder/forwarding/prompttransfer.py
@@ -14,7 +14,7 @@
 # negligible compared with prefill.
 SET_UP_MS = 3.0
 # Between data centres a transfer takes twice as long.
-FAR_FACTOR = 2.0
+REMOTE_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,12 +29,12 @@
     token_bytes: float
     link_mbps: float
 
-    def expected_ms(self, tokens: int, far: bool) -> float:
+    def expected_ms(self, tokens: int, is_remote: bool) -> float:
         """Return the expected time to transfer tokens, in milliseconds.
 
         Args:
             tokens: The number of tokens.
-            far: Whether the servers are in different data centres.
+            is_remote: Whether the servers are in different data centres.
         """
-        moving_ms = link_ms(tokens * self.token_bytes, self.link_mbps)
-        return SET_UP_MS + moving_ms * (FAR_FACTOR if far else 1.0)
+        transfer_ms = link_ms(tokens * self.token_bytes, self.link_mbps)
+        return SET_UP_MS + transfer_ms * (REMOTE_FACTOR if is_remote else 1.0)
--- a/packages/core/src/mountladder/forwarding/reservation.py
+++ b/packages/core/src/mountladder/forwarding/reservation.py
@@ -59,7 +59,7 @@
             RefusalError: No server is available, or none accepts the request in time.
         """
         while True:
-            self.run.case.admit(self.run.remaining_ms())
+            self.run.tracked.admit(self.run.remaining_ms())
             self.wait_for_backoff()
             reserved, self.reserved = self.reserved, None
             picked = reserved or self.pick(self.max_wait_ms())
@@ -89,8 +89,8 @@
     def pick(self, max_wait_ms: float) -> PickedServer:
         """Choose a server; see ServerPicker."""
         run = self.run
-        wish = ServerConstraints(run.excluded, run.site, max_wait_ms, run.urgency)
-        return self.picker.pick(run.request, run.service, run.remaining_ms(), wish)
+        constraints = ServerConstraints(run.excluded, run.site, max_wait_ms, run.urgency)
+        return self.picker.pick(run.request, run.service, run.remaining_ms(), constraints)
 
     def max_wait_ms(self) -> float:
         """Return how long the request may wait for a slot, in milliseconds.
--- a/packages/core/src/mountladder/forwarding/serverpicker.py
+++ b/packages/core/src/mountladder/forwarding/serverpicker.py
@@ -74,7 +74,11 @@
         self.stages: dict[str, Stage] = {}
 
     def pick(
-        self, request: ForwardRequest, service: str, budget_ms: float, wish: ServerConstraints
+        self,
+        request: ForwardRequest,
+        service: str,
+        budget_ms: float,
+        constraints: ServerConstraints,
     ) -> PickedServer:
         """Choose a server and record that the request is sent to it.
 
@@ -82,7 +86,7 @@
             request: The request.
             service: The service.
             budget_ms: The time until the request's deadline, in milliseconds.
-            wish: The constraints on the server.
+            constraints: The constraints on the server.
 
         Raises:
             RefusalError: No server exists, is in use, can be reached or accepts it in time.
@@ -91,20 +95,20 @@
             # Each failing connection attempt would cost the caller 300 ms.
             raise self.unavailable_refusal(service)
         if request.prompt is not None:
-            return self.pick_for_prompt(request.prompt, service, wish)
+            return self.pick_for_prompt(request.prompt, service, constraints)
         servers = self.directory.available(service)
         free = self.unlimited(servers)
         if len(free) == len(servers):
-            return self.pick_among(free, request, service, budget_ms, wish)
+            return self.pick_among(free, request, service, budget_ms, constraints)
         # The service's coordinator knows how much the other servers may still be sent.
-        others = wish.without(one.name for one in free)
+        others = constraints.without(one.name for one in free)
         if not free:
             return self.pick_for_prompt(EMPTY_PROMPT, service, others)
         probed = self.probe_limited(service, servers, free, others)
         if probed is not None:
             return probed
         try:
-            return self.pick_among(free, request, service, budget_ms, wish)
+            return self.pick_among(free, request, service, budget_ms, constraints)
         except RefusalError:
             return self.pick_for_prompt(EMPTY_PROMPT, service, others)
 
@@ -114,12 +118,14 @@
         request: ForwardRequest,
         service: str,
         budget_ms: float,
-        wish: ServerConstraints,
+        constraints: ServerConstraints,
     ) -> PickedServer:
         """Choose among servers without a rate limit; see pick."""
         stage, length = self.stage(service), len(request.body)
         try:
-            return PickedServer(self.router.pick(servers, stage, length, budget_ms, wish.excluded))
+            return PickedServer(
+                self.router.pick(servers, stage, length, budget_ms, constraints.excluded)
+            )
         except StageError as error:
             raise self.unavailable_refusal(service) from error
 
@@ -144,8 +150,8 @@
         if len(free) + len(cold) == len(servers) or not self.is_probe_due(service, free):
             return None
         try:
-            wish = replace(others.without(cold), max_wait_ms=0.0)
-            return self.pick_for_prompt(EMPTY_PROMPT, service, wish)
+            constraints = replace(others.without(cold), max_wait_ms=0.0)
+            return self.pick_for_prompt(EMPTY_PROMPT, service, constraints)
         except RefusalError:
             log_message("limited-servers-exhausted", service=service, free=len(free))
             return None
@@ -215,27 +221,29 @@
         return RefusalError("", code, retry_after_ms=NO_SERVER_RETRY_MS)
 
     def pick_for_prompt(
-        self, prompt: Prompt, service: str, wish: ServerConstraints
+        self, prompt: Prompt, service: str, constraints: ServerConstraints
     ) -> PickedServer:
         """Choose a server through the service's coordinator; see pick."""
         servers = {one.name: one for one in self.directory.available(service)}
-        wish = wish.without(self.unusable(servers.values()))
-        reply = self.placer.place(service, prompt, wish)
+        constraints = constraints.without(self.unusable(servers.values()))
+        reply = self.placer.place(service, prompt, constraints)
         if reply.server and reply.server not in servers:
             # The coordinator has not learned yet that the server is no longer available.
             log_message("placement-outdated", service=service, server=reply.server)
             self.placer.report(reply.number, ended=True)
-            reply = self.placer.place_locally(service, prompt, wish)
+            reply = self.placer.place_locally(service, prompt, constraints)
         server = servers.get(reply.server)
         if server is None:
             raise self.unavailable_refusal(service, reply.wait_ms)
         now = self.router.clock.now()
         state = self.router.state(server)
         state.begin(now)
-        expected_ms, compared = reply.expected_ms, len(servers) - len(wish.excluded)
-        crowding = state.load_factor(now)
-        choice = Choice(state, expected_ms, expected_ms, crowding, len(servers), compared)
-        return PickedServer(choice, reply.number, reply.source, reply.read, now + reply.wait_ms)
+        expected_ms, compared = reply.expected_ms, len(servers) - len(constraints.excluded)
+        load_factor = state.load_factor(now)
+        choice = Choice(state, expected_ms, expected_ms, load_factor, len(servers), compared)
+        return PickedServer(
+            choice, reply.number, reply.source, reply.prefill_tokens, now + reply.wait_ms
+        )
 
     def unusable(self, servers: Iterable[BackendServer]) -> frozenset[str]:
         """Return the names of the servers that this instance itself does not use at present."""
--- a/packages/core/src/mountladder/forwarding/stageflow.py
+++ b/packages/core/src/mountladder/forwarding/stageflow.py
@@ -50,9 +50,9 @@
         clock: The clock.
         may_refuse: Whether the request can still be refused, as no earlier attempt began any of it.
         fingerprint: The fingerprint of the request, equal for all its attempts, or empty.
-        promised_ms: The time from its arrival until its answer should begin; 0 if the request
-            gives way to those that can be on time, as it can't. None stands for the route's latency
-            target.
+        answer_target_ms: The time from its arrival until its answer should begin; 0 if that cannot
+            be met, and its stages give way to those of other requests. None stands for the route's
+            latency target.
 
     Attributes:
         handles: The handles of the results of each completed stage, by its number.
@@ -70,7 +70,7 @@
         urgency: int,
         dispatch: StageDispatch,
         clock: Clock,
-        promised_ms: float | None = None,
+        answer_target_ms: float | None = None,
         may_refuse: bool = True,
         fingerprint: str = "",
     ) -> None:
@@ -80,7 +80,7 @@
         self.urgency = urgency
         self.dispatch = dispatch
         self.clock = clock
-        self.promised_ms = route.target_ms if promised_ms is None else promised_ms
+        self.answer_target_ms = route.target_ms if answer_target_ms is None else answer_target_ms
         self.give_up = math.inf
         if may_refuse:
             self.give_up = request.arrived + GIVE_UP_TARGETS * route.target_ms
@@ -96,7 +96,7 @@
     @property
     def gives_way(self) -> bool:
         """Return whether its stages are queued behind all that can be on time."""
-        return self.promised_ms <= 0.0
+        return self.answer_target_ms <= 0.0
 
     def run(self) -> tuple[str, ...]:
         """Run all stages and return the handles of the results that the request needs.
@@ -177,7 +177,7 @@
         """Return the job of one stage."""
         stage = self.route.stages[number]
         inputs = tuple(handle for needed in stage.after for handle in self.handles[needed])
-        due = self.request.arrived + self.promised_ms - first_event_ms(self.request.prompt)
+        due = self.request.arrived + self.answer_target_ms - first_event_ms(self.request.prompt)
         return StageJob(
             request=self.request.id,
             stage=number,
@@ -233,13 +233,13 @@
 
     def other_stages_ms(self, number: int) -> float:
         """Return the approximate time until the other stages are done, in milliseconds."""
-        open_ = (
+        unfinished = (
             n
             for n in range(len(self.route.stages))
             if n != number and n not in self.handles and self.times.has_pieces(n)
         )
         return max(
-            (self.times.stage_ms(n) + self.times.following_ms(n) for n in open_), default=0.0
+            (self.times.stage_ms(n) + self.times.following_ms(n) for n in unfinished), default=0.0
         )
 
     def complete(self, number: int, results: Results) -> None:
--- a/packages/core/src/mountladder/forwarding/streamrun.py
+++ b/packages/core/src/mountladder/forwarding/streamrun.py
@@ -63,7 +63,7 @@
             body = answer.read(self.remaining_ms())
         except StageError as error:
             self.record_failure(attempt, error.code)
-            self.case.failed(attempt.choice.state.server, attempt.started, error)
+            self.tracked.failed(attempt.choice.state.server, attempt.started, error)
             raise RunError(error.detail, error.code) from error
         self.record_failure(attempt, Code.STAGE_FAILED)
         self.finish(status=answer.status)
@@ -165,7 +165,7 @@
                     active = attempt
                     yield first
             error = None
-            self.case.answered()
+            self.tracked.answered()
         except MountladderError as caught:
             error = caught
             raise
@@ -199,7 +199,7 @@
         Raises:
             MountladderError: The stream may not be resumed, or that failed.
         """
-        self.case.failed(attempt.choice.state.server, attempt.started, cut)
+        self.tracked.failed(attempt.choice.state.server, attempt.started, cut)
         self.excluded |= {attempt.server}
         self.possible_runs += 1
         problem = no_retry_error(self, cut)
--- a/packages/core/src/mountladder/forwarding/wholerun.py
+++ b/packages/core/src/mountladder/forwarding/wholerun.py
@@ -60,7 +60,7 @@
                 continue
             if answer.status < SERVER_ERROR:
                 self.succeeded(attempt, answer.load, streaming=False)
-                self.case.answered()
+                self.tracked.answered()
             return ForwardAnswer(answer.status, answer.headers, body)
 
     def check(self, answer: UpstreamAnswer) -> None:
--- a/packages/core/src/mountladder/membership/membership.py
+++ b/packages/core/src/mountladder/membership/membership.py
@@ -52,7 +52,7 @@
         self.changes = 0
         self.cached_neighbours: tuple[int, list[Instance]] = (-1, [])
         self.cached_remote_peers: tuple[int, list[Instance]] = (-1, [])
-        self.forgot_at = clock.now()
+        self.last_cleanup_at = clock.now()
 
     @property
     def interval_ms(self) -> float:
@@ -87,7 +87,7 @@
         if leaving and instance.incarnation not in self.leaving:
             self.leaving.add(instance.incarnation)
             self.changes += 1
-        self.forget_old()
+        self.drop_expired()
 
     def add_reported(self, instance: Instance) -> None:
         """Add an instance that a peer knows, unless it is known already."""
@@ -95,12 +95,12 @@
             self.known[instance.name] = instance
             self.changes += 1
 
-    def forget_old(self) -> None:
+    def drop_expired(self) -> None:
         """Drop incarnations that have sent nothing for a long time."""
         now = self.clock.now()
-        if now - self.forgot_at < self.min_interval_ms:
+        if now - self.last_cleanup_at < self.min_interval_ms:
             return
-        self.forgot_at = now
+        self.last_cleanup_at = now
         horizon = now - 10 * MISSED_HEARTBEATS * self.interval_ms
         for incarnation, at in list(self.last_seen.items()):
             if at < horizon:
--- a/packages/core/src/mountladder/membership/wirereader.py
+++ b/packages/core/src/mountladder/membership/wirereader.py
@@ -177,8 +177,8 @@
     prompt = Prompt(order.tokens, order.mostOutput, parts)
     excluded = tuple(str(name) for name in order.excluded)
     number, service = order.number, str(order.service)
-    site, patience_ms = str(order.site), order.patienceMs
-    return PlacementOrder(number, service, prompt, excluded, site, patience_ms, order.urgency)
+    site, max_wait_ms = str(order.site), order.patienceMs
+    return PlacementOrder(number, service, prompt, excluded, site, max_wait_ms, order.urgency)
 
 
 def _read_slice(part) -> CatalogueSlice:
@@ -188,11 +188,13 @@
 
 
 def _read_suspicion(one) -> Suspicion:
-    ends = tuple(ServerCrash(str(end.server), end.ranMs, end.at, end.alone) for end in one.ends)
+    crashes = tuple(
+        ServerCrash(str(crash.server), crash.ranMs, crash.at, crash.alone) for crash in one.ends
+    )
     return Suspicion(
         bytes(one.fingerprint).hex(),
         str(one.service),
-        ends,
+        crashes,
         one.sentAt,
         one.clearedAt,
         one.bars,
--- a/packages/core/src/mountladder/membership/wirewriter.py
+++ b/packages/core/src/mountladder/membership/wirewriter.py
@@ -217,7 +217,7 @@
     for part, to in zip(prompt.parts, parts, strict=True):
         to.id, to.tokens = part.id, part.tokens
     order.excluded, order.site = list(message.excluded), message.site
-    order.patienceMs, order.urgency = message.patience_ms, min(message.urgency, MAX_URGENCY)
+    order.patienceMs, order.urgency = message.max_wait_ms, min(message.urgency, MAX_URGENCY)
 
 
 @fill.register
@@ -225,7 +225,7 @@
     reply = frame.init("placementReply")
     reply.number, reply.server = message.number, message.server
     reply.expectedMs = message.expected_ms
-    reply.source, reply.read = message.source, message.read
+    reply.source, reply.read = message.source, message.prefill_tokens
     reply.waitMs = message.wait_ms
 
 
@@ -244,10 +244,10 @@
         to.sentAt, to.clearedAt = one.sent_at, one.cleared_at
         to.bars, to.barredAt = min(one.bars, MAX_BARS), one.barred_at
         to.cleared = list(one.cleared)
-        ends = to.init("ends", len(one.crashes))
-        for end, target in zip(one.crashes, ends, strict=True):
-            target.server, target.ranMs, target.at = end.server, end.ran_ms, end.at
-            target.alone = end.alone
+        targets = to.init("ends", len(one.crashes))
+        for crash, target in zip(one.crashes, targets, strict=True):
+            target.server, target.ranMs, target.at = crash.server, crash.ran_ms, crash.at
+            target.alone = crash.alone
 
 
 @fill.register
--- a/packages/core/src/mountladder/notices/noticeregistry.py
+++ b/packages/core/src/mountladder/notices/noticeregistry.py
@@ -145,14 +145,14 @@
     def evict(self, kind: dict[str, ServerNotice]) -> None:
         """Drop notices past their retention time, or else the oldest of too many."""
         now, listed = self.clock.now(), self.listed()
-        kept_until = {
+        expires_at = {
             name: one.seen_at + retention_ms(one.notice, name in listed)
             for name, one in kind.items()
         }
         ordered = sorted(
-            (name for name in kind if kept_until[name] < math.inf), key=kept_until.__getitem__
+            (name for name in kind if expires_at[name] < math.inf), key=expires_at.__getitem__
         )
-        expired = [name for name in ordered if kept_until[name] <= now]
+        expired = [name for name in ordered if expires_at[name] <= now]
         for name in expired or ordered[: max(0, len(kind) - MAX_SERVERS)]:
             del kind[name]
         known = {one.server for one in self.all()}
--- a/packages/core/src/mountladder/quarantine/quarantine.py
+++ b/packages/core/src/mountladder/quarantine/quarantine.py
@@ -82,8 +82,8 @@
             RefusalError: The request is barred; `retry_after_ms` is the remaining time.
         """
         known = self.suspicions.get(fingerprint)
-        left_ms = known.barred_until - self.clock.now() if known else NEVER
-        if left_ms <= 0:
+        remaining_ms = known.barred_until - self.clock.now() if known else NEVER
+        if remaining_ms <= 0:
             return
         log_message(
             "barred-request-refused",
@@ -91,10 +91,10 @@
             fingerprint=fingerprint,
             servers=[one.server for one in known.crashes],
             bars=known.bars,
-            remaining_ms=round(left_ms),
+            remaining_ms=round(remaining_ms),
         )
         detail = f"{len(known.crashes)} servers crashed while running it"
-        raise RefusalError(detail, Code.QUARANTINED, retry_after_ms=left_ms)
+        raise RefusalError(detail, Code.QUARANTINED, retry_after_ms=remaining_ms)
 
     def is_barred(self, fingerprint: str) -> bool:
         """Return whether a request is barred at present."""
@@ -116,18 +116,18 @@
         known = self.suspicions.get(fingerprint)
         return max(0.0, known.wait_until() - self.clock.now()) if known else 0.0
 
-    def admit(self, fingerprint: str, request: str, left_ms: float) -> None:
+    def admit(self, fingerprint: str, request: str, remaining_ms: float) -> None:
         """Admit a request to a server; a suspect waits while another copy of it is in flight.
 
         Args:
             fingerprint: The hash that all attempts at the same request share.
             request: The caller's id of this attempt.
-            left_ms: The maximum wait, in milliseconds.
+            remaining_ms: The maximum wait, in milliseconds.
 
         Raises:
             RefusalError: The request is barred.
         """
-        until = self.clock.now() + min(MAX_WAIT_MS, left_ms)
+        until = self.clock.now() + min(MAX_WAIT_MS, remaining_ms)
         while True:
             self.check(fingerprint, request)
             wait_ms = min(self.wait_ms(fingerprint), until - self.clock.now())
--- a/packages/core/src/mountladder/quarantine/trackedattempt.py
+++ b/packages/core/src/mountladder/quarantine/trackedattempt.py
@@ -63,13 +63,13 @@
         for name in stages:
             self.quarantine.check(stage_fingerprint(self.fingerprint, name), self.request)
 
-    def admit(self, left_ms: float) -> None:
+    def admit(self, remaining_ms: float) -> None:
         """Wait until the request may be sent to a server; see Quarantine.admit.
 
         Raises:
             RefusalError: The request is barred.
         """
-        self.quarantine.admit(self.fingerprint, self.request, left_ms)
+        self.quarantine.admit(self.fingerprint, self.request, remaining_ms)
 
     def failed(self, server: BackendServer, started: float, error: StageError) -> None:
         """Find out whether a server has crashed, if the connection to it broke.
--- a/packages/core/src/mountladder/requests/attempts.py
+++ b/packages/core/src/mountladder/requests/attempts.py
@@ -102,7 +102,7 @@
         remaining_ms = self.request.deadline - clock.now()
         configuration = self.context.follower.configuration
         budget = stage_budget(
-            self.context.costs, self.request.pipeline, stage, remaining_stages, remaining_ms
+            self.context.cost_model, self.request.pipeline, stage, remaining_stages, remaining_ms
         )
         choice = self.context.router.pick(
             configuration.servers_for(stage, self.request.team),
@@ -183,7 +183,7 @@
             attempt.choice, stage, len(retry_state.body), elapsed_ms, load
         )
         total_ms = self.context.clock.now() - retry_state.started
-        self.context.costs.record_total(self.request.pipeline.name, stage, total_ms)
+        self.context.cost_model.record_total(self.request.pipeline.name, stage, total_ms)
         self.context.budgets[self.budget_name(stage)].earn()
         late = self.context.clock.now() > self.request.deadline
         cost = self.charge(attempt, "late" if late else "useful")
--- a/packages/core/src/mountladder/requests/eventreader.py
+++ b/packages/core/src/mountladder/requests/eventreader.py
@@ -14,7 +14,7 @@
 from mountladder.requests.chunk import Chunk
 
 MAX_EVENT_BYTES = 65_536
-_END = b"\n\n"
+_EVENT_END = b"\n\n"
 _EVENT = re.compile(rb"id: (\d+)\ndata: (.+)")
 _DONE = b"event: done\ndata: "
 _ERROR = b"event: error\ndata: "
@@ -42,18 +42,20 @@
             StageError: The engine reported an error, or the stream is malformed.
         """
         first = self.held + 1
-        is_single_event = not self.incomplete and data.find(_END) == len(data) - len(_END)
+        is_single_event = not self.incomplete and data.find(_EVENT_END) == len(data) - len(
+            _EVENT_END
+        )
         if is_single_event and data.startswith(b'id: %d\ndata: "' % first):
             self.held = first
             return Chunk(first, 1, data, load)
         data = self.incomplete + data
-        *events, self.incomplete = data.split(_END)
+        *events, self.incomplete = data.split(_EVENT_END)
         if len(self.incomplete) > MAX_EVENT_BYTES:
             raise StageError("an event exceeds the maximum length", Code.BAD_ANSWER)
         new_events = [event for event in events if self.is_next_token(event)]
         if not new_events:
             return None
-        return Chunk(first, len(new_events), _END.join(new_events) + _END, load)
+        return Chunk(first, len(new_events), _EVENT_END.join(new_events) + _EVENT_END, load)
 
     def is_next_token(self, event: bytes) -> bool:
         """Check an event and return whether it holds the next token."""
--- a/packages/core/src/mountladder/requests/gateway.py
+++ b/packages/core/src/mountladder/requests/gateway.py
@@ -103,11 +103,11 @@
                 error.result = ResultClass.UNKNOWN
             self.count_error(error)
             raise
-        if decision.replay is not None:
-            return Reply(request, stored_answer=decision.replay)
+        if decision.stored_answer is not None:
+            return Reply(request, stored_answer=decision.stored_answer)
         if decision.issued_key is not None:
             return Reply(request, issued_key=decision.issued_key)
-        return self.run_reply(request, decision.run)
+        return self.run_reply(request, decision.record)
 
     def read(self, caller_request: CallerRequest) -> Request:
         """Validate and authenticate a request.
--- a/packages/core/src/mountladder/requests/runcontext.py
+++ b/packages/core/src/mountladder/requests/runcontext.py
@@ -31,7 +31,7 @@
         follower: The configuration in force.
         router: Chooses servers.
         backend: Calls servers.
-        costs: The learned durations of stages.
+        cost_model: The learned durations of stages.
         ledger: Accumulates cost.
         metrics: Receives the metrics.
         quarantine: Bars requests that crash servers.
@@ -43,7 +43,7 @@
     follower: Follower
     router: Router
     backend: Backend
-    costs: CostModel
+    cost_model: CostModel
     ledger: Ledger
     metrics: Metrics
     quarantine: QuarantineService
--- a/packages/core/src/mountladder/requests/stageplan.py
+++ b/packages/core/src/mountladder/requests/stageplan.py
@@ -27,7 +27,7 @@
     return groups
 
 
-def weight(costs: CostModel, pipeline: Pipeline, stage: Stage) -> float:
+def weight(cost_model: CostModel, pipeline: Pipeline, stage: Stage) -> float:
     """Return a stage's weight in the split of the remaining time.
 
     It is the configured share of the pipeline's deadline, in milliseconds, or else a high
@@ -35,14 +35,14 @@
     """
     if stage.share > 0:
         return stage.share * pipeline.deadline_ms
-    histogram = costs.histograms.get((pipeline.name, stage.name))
+    histogram = cost_model.histograms.get((pipeline.name, stage.name))
     if histogram is None:
-        return costs.least_expected(stage, 0)
+        return cost_model.min_expected(stage, 0)
     return histogram.quantile(QUANTILE)
 
 
 def stage_budget(
-    costs: CostModel,
+    cost_model: CostModel,
     pipeline: Pipeline,
     stage: Stage,
     remaining_stages: Sequence[Stage],
@@ -51,12 +51,12 @@
     """Return the time budget of a stage, in milliseconds.
 
     Args:
-        costs: The learned durations of stages.
+        cost_model: The learned durations of stages.
         pipeline: The pipeline.
         stage: The stage about to run.
         remaining_stages: The stages not yet run, this one included.
         remaining_ms: The time until the deadline.
     """
-    total = sum(weight(costs, pipeline, one) for one in remaining_stages)
-    own = weight(costs, pipeline, stage)
+    total = sum(weight(cost_model, pipeline, one) for one in remaining_stages)
+    own = weight(cost_model, pipeline, stage)
     return remaining_ms * own / total if total > 0 else remaining_ms
--- a/packages/core/src/mountladder/routing/costmodel.py
+++ b/packages/core/src/mountladder/routing/costmodel.py
@@ -65,7 +65,7 @@
         """Return the expected time on an unloaded server, in milliseconds."""
         classes = self.means.get((stage.work, stage.model, accelerator))
         if not classes:
-            return self.least_expected(stage, length)
+            return self.min_expected(stage, length)
         length_class = _length_class(length)
         value = classes.get(length_class)
         return self.extrapolate(stage, classes, length_class) if value is None else value
@@ -91,7 +91,7 @@
             classes = self.means.setdefault((stage.work, stage.model, accelerator), {})
             classes[_length_class(length)] = spent_ms * TIMEOUT_FACTOR
 
-    def least_expected(self, stage: Stage, length: int) -> float:
+    def min_expected(self, stage: Stage, length: int) -> float:
         """Return the shortest time known on any accelerator, so that a new one gets tried."""
         length_class = _length_class(length)
         known = [
--- a/packages/core/src/mountladder/routing/prefillplan.py
+++ b/packages/core/src/mountladder/routing/prefillplan.py
@@ -1,8 +1,8 @@
-# prefillplan.py -- Split of a prompt into tokens to read and tokens to fetch
+# prefillplan.py -- Split of a prompt into tokens to prefill and tokens to fetch
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Split of a prompt into tokens to read and tokens to fetch."""
+"""Split of a prompt into tokens to prefill and tokens to fetch."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefillPlan:
-    """Which tokens of a prompt a model server would read and which it would fetch.
+    """Which tokens of a prompt a model server would prefill and which it would fetch.
 
     Attributes:
-        read: The number of tokens that it would read (prefill).
+        prefill_tokens: The number of tokens that it would prefill.
         cached_elsewhere: How many of these another server has cached.
         uncached_shared: How many of these belong to shared parts that no server is known to
             have cached.
@@ -22,7 +22,7 @@
         source: The address of that server, or an empty string.
     """
 
-    read: int
+    prefill_tokens: int
     cached_elsewhere: int = 0
     uncached_shared: int = 0
     fetch_ms: float = 0.0
--- a/packages/core/src/mountladder/routing/promptplacement.py
+++ b/packages/core/src/mountladder/routing/promptplacement.py
@@ -58,7 +58,7 @@
         cached_parts: The ids of the parts sent to each server, in order of use, the latest last.
         pending_tokens: The number of tokens that each server has yet to read, by its name.
         running_prompts: The number of prompts at each server, by its name.
-        speed: The learnt speed at which servers read prompts.
+        speed: The learned speed at which servers prefill prompts.
     """
 
     def __init__(self, clock: Clock, router: Router) -> None:
@@ -103,7 +103,7 @@
             for one in plans
         ]
         expected_ms, best, plan = min(costs, key=lambda one: one[0])
-        unloaded = FIRST_TOKEN_MS + plan.read / self.speed.tokens_per_ms + plan.fetch_ms
+        unloaded = FIRST_TOKEN_MS + plan.prefill_tokens / self.speed.tokens_per_ms + plan.fetch_ms
         load_factor = best.load_factor(now)
         choice = Choice(best, expected_ms, unloaded, load_factor, len(servers), len(usable))
         return PromptChoice(choice, plan)
@@ -156,7 +156,11 @@
         cached_elsewhere = (
             plan.cached_elsewhere if is_hashed else plan.cached_elsewhere + plan.uncached_shared
         )
-        tokens = plan.read + cached_elsewhere * (RECOMPUTE_WEIGHT - 1.0) + self.pending_tokens[name]
+        tokens = (
+            plan.prefill_tokens
+            + cached_elsewhere * (RECOMPUTE_WEIGHT - 1.0)
+            + self.pending_tokens[name]
+        )
         expected = FIRST_TOKEN_MS + tokens / self.speed.tokens_per_ms + FETCH_WEIGHT * plan.fetch_ms
         load_factor = (self.running_prompts[name] + 1) / state.server.slots
         expected *= max(1.0, load_factor) ** 2 * state.slowness_at(now)
--- a/packages/core/src/mountladder/routing/router.py
+++ b/packages/core/src/mountladder/routing/router.py
@@ -40,7 +40,7 @@
     Args:
         clock: The clock.
         rng: The source of randomness.
-        costs: The learned durations of stages.
+        cost_model: The learned durations of stages.
         policy: The policy that chooses among candidates.
         metrics: Counts ejections.
         datacentre: The instance's data centre, or an empty string to treat all as local.
@@ -55,7 +55,7 @@
         self,
         clock: Clock,
         rng: random.Random,
-        costs: CostModel,
+        cost_model: CostModel,
         policy: Policy,
         metrics: Metrics,
         datacentre: str = "",
@@ -63,7 +63,7 @@
     ) -> None:
         self.clock = clock
         self.rng = rng
-        self.costs = costs
+        self.cost_model = cost_model
         self.policy = policy
         self.metrics = metrics
         self.states: dict[str, ServerState] = {}
@@ -188,7 +188,7 @@
         self, state: ServerState, stage: Stage, length: int, holder: str | None, now: float
     ) -> Candidate:
         """Return a server as a candidate, with the expected time of a call there."""
-        unloaded = self.costs.expected(stage, state.server.accelerator, length)
+        unloaded = self.cost_model.expected(stage, state.server.accelerator, length)
         if state.server.name == holder:
             unloaded *= PREFIX_HIT_FACTOR
         delay_ms = 0.0 if self.locality.is_local(state.server) else self.spill_ms
@@ -212,13 +212,15 @@
         state.breaker.succeed()
         if load is not None:
             state.record_load(load, now)
-        self.costs.record(stage, state.server.accelerator, length, elapsed_ms / load_factor)
+        self.cost_model.record(stage, state.server.accelerator, length, elapsed_ms / load_factor)
         state.record_time_ratio(elapsed_ms / max(1.0, choice.unloaded_ms * load_factor), now)
 
     def record_token_interval(self, choice: Choice, stage: Stage, interval_ms: float) -> None:
         """Update a server's load from the time between tokens of a running stream."""
         state = choice.state
-        unloaded = self.costs.update_token_interval(stage, state.server.accelerator, interval_ms)
+        unloaded = self.cost_model.update_token_interval(
+            stage, state.server.accelerator, interval_ms
+        )
         state.record_load_factor(interval_ms / max(MIN_INTERVAL_MS, unloaded), self.clock.now())
 
     def cancel(self, choice: Choice) -> None:
@@ -254,13 +256,13 @@
         It is 0 if a server has not asked for a back-off, or if no servers are given.
         """
         now = self.clock.now()
-        least_ms = math.inf
+        min_ms = math.inf
         for server in servers:
             backoff_ms = self.state(server).backoff_ms(now)
             if backoff_ms <= 0:
                 return 0.0
-            least_ms = min(least_ms, backoff_ms)
-        return 0.0 if math.isinf(least_ms) else least_ms
+            min_ms = min(min_ms, backoff_ms)
+        return 0.0 if math.isinf(min_ms) else min_ms
 
     def backing_off(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
         """Return those of the servers that have asked this instance to back off at present."""
@@ -287,7 +289,7 @@
         ratio = elapsed_ms / max(1.0, choice.unloaded_ms * load_factor)
         if code in {Code.DEADLINE_PASSED, Code.STAGE_STALLED}:
             accelerator = state.server.accelerator
-            self.costs.record_timeout(stage, accelerator, length, elapsed_ms / load_factor)
+            self.cost_model.record_timeout(stage, accelerator, length, elapsed_ms / load_factor)
         if ratio > state.slowness_at(now):
             state.record_time_ratio(ratio, now)
         state.end(now)
--- a/packages/core/src/mountladder/runtime.py
+++ b/packages/core/src/mountladder/runtime.py
@@ -124,18 +124,26 @@
             metrics,
         )
         self.idempotency.alive = self.membership.is_alive
-        costs = CostModel()
+        cost_model = CostModel()
         routing_policy = policy or ExpectedCompletion(settings.drawn, settings.thrift)
         datacentre = settings.datacentre
         self.router = Router(
-            clock, rng, costs, routing_policy, metrics, datacentre, settings.spill_ms
+            clock, rng, cost_model, routing_policy, metrics, datacentre, settings.spill_ms
         )
         self.router.on_leaving = self.peers.report_leaving_server
         self.peers.on_leaving_server = self.router.mark_leaving
         self.ledger = Ledger(self.me.incarnation)
         quarantine = self.make_quarantine(backend)
         self.context = RunContext(
-            clock, rng, self.follower, self.router, backend, costs, self.ledger, metrics, quarantine
+            clock,
+            rng,
+            self.follower,
+            self.router,
+            backend,
+            cost_model,
+            self.ledger,
+            metrics,
+            quarantine,
         )
         self.admission = Admission(clock, settings.most_running, settings.most_waiting)
         self.traces = TraceRegistry()
@@ -289,11 +297,11 @@
             self.clock.sleep(TICK_MS / 4)
         if self.orders is not None and self.orders.lease.holding:
             self.orders.lease.release()
-        cut = self.admission.total
+        aborted = self.admission.total
         self.try_flush_cost()
         self.stack.close()
-        log_message("stopped", instance=self.me.name, aborted=cut)
-        return cut
+        log_message("stopped", instance=self.me.name, aborted=aborted)
+        return aborted
 
     def try_announce_leaving(self) -> None:
         """Announce to the platform that this instance is leaving."""
--- a/packages/entry/src/mountladder_entry/callers.py
+++ b/packages/entry/src/mountladder_entry/callers.py
@@ -164,7 +164,7 @@
     if relayed is None:
         decision = node.gateway.idempotency.stored_answer(reply.request)
         bottle.response.content_type = "application/json"
-        return decision.replay
+        return decision.stored_answer
     bottle.response.status = relayed.status
     for name in ("Content-Type", "Retry-After"):
         if name in relayed.headers:
--- a/packages/entry/src/mountladder_entry/httpbackend.py
+++ b/packages/entry/src/mountladder_entry/httpbackend.py
@@ -125,7 +125,7 @@
         headers = self.headers(call, stream)
         timeout = urllib3.Timeout(connect=CONNECT_SECONDS, read=None)
         try:
-            with self.clock.limit(limit_ms):
+            with self.clock.time_limit(limit_ms):
                 response = self.pool.request(
                     "POST",
                     url,
@@ -185,7 +185,7 @@
     def read(self, response: urllib3.BaseHTTPResponse, limit_ms: float) -> bytes:
         """Read a whole body."""
         try:
-            with self.clock.limit(limit_ms):
+            with self.clock.time_limit(limit_ms):
                 return response.read()
         except WaitTimeoutError as error:
             raise StageError("no data came in time", Code.STAGE_STALLED) from error
@@ -210,7 +210,7 @@
             return
         body = json.dumps({"attempt": attempt}).encode()
         try:
-            with self.clock.limit(CANCEL_MS):
+            with self.clock.time_limit(CANCEL_MS):
                 self.pool.request(
                     "POST",
                     f"http://{server.address}{cancel_target}",
--- a/packages/entry/src/mountladder_entry/httpclient.py
+++ b/packages/entry/src/mountladder_entry/httpclient.py
@@ -70,7 +70,7 @@
         """
         url = self.base + path
         try:
-            with self.clock.limit(self.answer_ms if answer_ms is None else answer_ms):
+            with self.clock.time_limit(self.answer_ms if answer_ms is None else answer_ms):
                 response = self.pool.request(
                     method, url, body=body, fields=fields, headers=headers, timeout=_TIMEOUT
                 )
--- a/packages/entry/src/mountladder_entry/httpengines.py
+++ b/packages/entry/src/mountladder_entry/httpengines.py
@@ -60,7 +60,7 @@
         """Make a call and return its answer."""
         url = f"http://{server.address}{path}"
         try:
-            with self.clock.limit(ANSWER_MS):
+            with self.clock.time_limit(ANSWER_MS):
                 return self.pool.request(method, url, body=body, timeout=urllib3.Timeout(None))
         except (urllib3.exceptions.HTTPError, WaitTimeoutError, OSError) as error:
             raise StageError(f"{url}: {error}", Code.CONNECT_FAILED) from error
--- a/packages/standins/src/mountladder_standins/forwardfleet.py
+++ b/packages/standins/src/mountladder_standins/forwardfleet.py
@@ -158,7 +158,7 @@
             catalogue=self.catalogue,
             servers=self.servers,
             instances=self.instance_list,
-            bars=self.suspicion_store,
+            suspicion_store=self.suspicion_store,
             is_catalogue=lambda key: key == CATALOGUE,
             decode_catalogue=self.decode,
             decode_server=self.decode_server,
--- a/packages/standins/src/mountladder_standins/localbackend.py
+++ b/packages/standins/src/mountladder_standins/localbackend.py
@@ -44,7 +44,7 @@
         standin = self.find_standin(server)
         work = call.stage.work if server.serves == "engine" else call.stage.name
         try:
-            with self.clock.limit(call.deadline - self.clock.now()):
+            with self.clock.time_limit(call.deadline - self.clock.now()):
                 value = standin.run(work, call.attempt, call.body)
         except _FAILURES as error:
             raise _stage_error(error) from error
@@ -61,7 +61,7 @@
         try:
             while not reader.ended:
                 limit = min(timeout_ms, call.deadline - self.clock.now())
-                with self.clock.limit(limit):
+                with self.clock.time_limit(limit):
                     event = next(events, b"")
                 if not event:
                     raise StageError("the stream broke off before its last event", Code.STREAM_CUT)
--- a/packages/standins/src/mountladder_standins/localfleet.py
+++ b/packages/standins/src/mountladder_standins/localfleet.py
@@ -202,7 +202,7 @@
                 runtime.me, issuer.me
             ):
                 return self.read_answer(issuer, request, [])
-        return json.loads(runtime.idempotency.stored_answer(reply.request).replay)
+        return json.loads(runtime.idempotency.stored_answer(reply.request).stored_answer)
 
     def attempts_of(self, work: str) -> list[str]:
         """Return the ids of the attempts of a kind of work that all stand-ins began."""
