--- a/features/steps/drain_steps.py
+++ b/features/steps/drain_steps.py
@@ -229,7 +229,7 @@
 @then("its parts are prefilled, not fetched")
 def prefilled_not_fetched(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
-    assert context.reply.read == PROMPT.tokens
+    assert context.reply.prefill_tokens == PROMPT.tokens
 
 
 @given("a result of a server in each data centre")
--- a/features/steps/faultrun_steps.py
+++ b/features/steps/faultrun_steps.py
@@ -92,7 +92,7 @@
 
 
 def decide_without_claim(self, request):
-    return KeyDecision(run=self.record_running(request))
+    return KeyDecision(record=self.record_running(request))
 
 
 def all_servers(self, stage, team):
--- a/features/steps/heavyday_steps.py
+++ b/features/steps/heavyday_steps.py
@@ -412,7 +412,7 @@
 
 @then("it goes to the first data centre and fetches {tokens:d} tokens")
 def fetches(context, tokens):
-    assert (context.reply.server, context.reply.read) == ("llm-1", context.own)
+    assert (context.reply.server, context.reply.prefill_tokens) == ("llm-1", context.own)
     assert context.reply.source == "10.0.0.2:80"
     assert tokens == context.shared.tokens
 
@@ -421,18 +421,18 @@
 def prefills_all(context):
     whole = context.own + context.shared.tokens
     assert (context.reply.server, context.reply.source) == ("llm-1", ""), context.reply
-    assert context.reply.read == whole
+    assert context.reply.prefill_tokens == whole
 
 
 @then("it goes to the second data centre and prefills its own tokens")
 def prefills_own(context):
     assert (context.reply.server, context.reply.source) == ("llm-2", ""), context.reply
-    assert context.reply.read == context.own
+    assert context.reply.prefill_tokens == context.own
 
 
 @then("it is expected to prefill {tokens:d} tokens")
 def expected_to_prefill(context, tokens):
-    assert context.reply.read == tokens
+    assert context.reply.prefill_tokens == tokens
 
 
 @given("engines with a true speed of {speed:g} prefilled tokens a millisecond")
--- a/packages/core/src/mountladder/claims/keydecision.py
+++ b/packages/core/src/mountladder/claims/keydecision.py
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyDecision:
-    """What to do with a non-idempotent request; exactly one field is set.
+    """How to handle a non-idempotent request; exactly one field is set.
 
     Attributes:
-        run: The record under which to run it here.
-        replay: The kept answer to return, as JSON.
+        record: The record under which to run it here.
+        stored_answer: The stored answer to return, as JSON.
         issued_key: The issued key, if the request must be passed to the instance that issued it.
     """
 
-    run: KeyRecord | None = None
-    replay: bytes | None = None
+    record: KeyRecord | None = None
+    stored_answer: bytes | None = None
     issued_key: IssuedKey | None = None
--- a/packages/core/src/mountladder/forwarding/batcher.py
+++ b/packages/core/src/mountladder/forwarding/batcher.py
@@ -92,7 +92,7 @@
         self.notices = notices
         self.catalogue = catalogue
         self.upstream = upstream
-        self.ends = quarantine.detector
+        self.detector = quarantine.detector
         self.quarantine = quarantine.registry
         self.budget = budget
         self.clock = clock
@@ -241,7 +241,7 @@
     def start(
         self, state: ServerState, batch: list[QueuedPiece], limits: BatchLimits, now: float
     ) -> None:
-        """Send a batch to a server in a greenlet of its own."""
+        """Send a batch to a server in a new greenlet."""
         run = BatchRun(self, state, batch, limits, now)
         self.servers.begin(state, run.call)
         for progress, _ in batch:
--- a/packages/core/src/mountladder/forwarding/forwardinginstance.py
+++ b/packages/core/src/mountladder/forwarding/forwardinginstance.py
@@ -68,7 +68,7 @@
 
 
 class ForwardingInstance:
-    """Everything an instance does behind its HTTP interface to forward requests.
+    """Creates, connects and runs the components that forward requests, except HTTP.
 
     Args:
         settings: The settings.
@@ -144,7 +144,9 @@
         self.dispatch = StageDispatch(self.fleet, self.make_batcher, clock)
         self.directory.listeners.append(self.pump_batchers)
         self.forwarder = Forwarder(self.make_context(picker))
-        applier = PageApplier(self.tables, self.follower, self.directory, self.fleet.eras, clock)
+        applier = PageApplier(
+            self.tables, self.follower, self.directory, self.fleet.era_tracker, clock
+        )
         self.catalogue_source = self.make_follower(
             "catalogue", self.tables.catalogue, applier.apply_catalogue
         )
@@ -154,7 +156,7 @@
         self.directory_source.on_reachable = self.directory.mark_store_reachable
         self.member_reader = MemberReader(self.tables.instances, self.fleet, clock)
         self.fleet.is_store_answering = self.follows_store
-        self.follower.is_feed_live = self.is_fed
+        self.follower.is_feed_live = self.is_feed_live
 
     def build_quarantine(self, upstream: Upstream) -> None:
         """Create and connect the components that track which requests crash servers."""
@@ -169,10 +171,10 @@
         self.directory.listeners.append(self.quarantine.detector.check_listing)
         registry, reader_election = self.quarantine.registry, self.fleet.reader_election
         registry.on_server_crashed = self.disable_server
-        self.bar_keeper = SuspicionPersister(
-            self.tables.bars, registry, reader_election, self.clock
+        self.suspicion_persister = SuspicionPersister(
+            self.tables.suspicion_store, registry, reader_election, self.clock
         )
-        self.fleet.eras.listeners.append(self.bar_keeper.rewrite_recent)
+        self.fleet.era_tracker.listeners.append(self.suspicion_persister.rewrite_recent)
 
     def disable_server(self, name: str) -> None:
         """Stop using a server that has crashed, whichever instance noticed it."""
@@ -201,7 +203,7 @@
     def make_follower(
         self, name: str, source: Source, apply: Callable[[SourcePage, bool], None]
     ) -> SourceFollower:
-        """Return a follower of a table; it reads while this instance is to follow the store."""
+        """Return a follower of a table, which reads while this instance is an elected reader."""
         reader_election = self.fleet.reader_election
         follower = SourceFollower(
             name,
@@ -235,14 +237,14 @@
         )
 
     def pump_batchers(self) -> None:
-        """Have every batcher send what the current servers can take."""
+        """Have every batcher send the pieces that the current servers can accept."""
         for batcher in self.dispatch.batchers.values():
             batcher.pump()
 
-    def is_fed(self) -> bool:
+    def is_feed_live(self) -> bool:
         """Return whether catalogue updates would reach this instance.
 
-        That needs a live peer, unless none is known, and an answering store, here or at a peer.
+        That needs a live peer, unless no peer is known, and a store that answers here or at a peer.
         """
         known = self.membership.addressed()
         reachable = not known or any(self.fleet.is_alive(one) for one in known)
@@ -269,7 +271,7 @@
             self.catalogue_source.run,
             self.directory_source.run,
             self.member_reader.run,
-            self.bar_keeper.run,
+            self.suspicion_persister.run,
             self.keep_announcing,
             self.keep_checking_reachability,
             self.fleet.run,
@@ -280,7 +282,7 @@
         self.stack.callback(self.upstream.close)
 
     def keep_announcing(self) -> None:
-        """Announce periodically, while it is so, that this instance follows the store."""
+        """Announce periodically that this instance follows the store, while it does."""
         while True:
             self.clock.sleep(READER_BEACON_MS)
             if self.fleet.reader_election.reading:
--- a/packages/core/src/mountladder/forwarding/forwardrun.py
+++ b/packages/core/src/mountladder/forwarding/forwardrun.py
@@ -1,8 +1,8 @@
-# forwardrun.py -- Execution of one forwarded request: stages, attempts, retries and outcome
+# forwardrun.py -- Executes one forwarded request: its stages, attempts and retries
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Executes one forwarded request: runs its stages, sends it to servers and retries it."""
+"""Executes one forwarded request: its stages, attempts and retries."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         gives_way: Whether it cannot meet its latency target, so that its stages run after those of
             requests that can.
         cancel_release: Cancels the scheduled release of stage results.
-        case: The quarantine's record of the request.
+        tracked: The request as tracked by the quarantine.
         reservation: Chooses servers and waits for a slot at those that limit their request rate.
     """
 
@@ -87,7 +87,7 @@
         self.gives_way = False
         self.reservation = Reservation(self)
         texts = (self.team, request.method, request.host, request.target)
-        self.case = context.quarantine.track(request.id, texts, request.body)
+        self.tracked = context.quarantine.track(request.id, texts, request.body)
         context.budget(self.service).earn()
 
     @property
@@ -119,7 +119,7 @@
             self.context.clock,
             self.answer_target_ms(),
             is_first,
-            self.case.fingerprint,
+            self.tracked.fingerprint,
         )
         try:
             inputs = self.flow.run()
@@ -183,7 +183,7 @@
             prefix_source=picked.source,
             prefill_tokens=picked.prefill_tokens,
             tokens=self.request.prompt.tokens if self.request.prompt else 0,
-            left_ms=round(self.remaining_ms()),
+            remaining_ms=round(self.remaining_ms()),
         )
         return attempt
 
@@ -219,7 +219,7 @@
         self.context.picker.failed(
             attempt.picked, self.request, self.service, error.code, elapsed_ms
         )
-        self.case.failed(attempt.choice.state.server, attempt.started, error)
+        self.tracked.failed(attempt.choice.state.server, attempt.started, error)
         self.excluded |= {attempt.server}
         self.possible_runs += error.dispatched
         self.connect_failures += error.code is Code.CONNECT_FAILED
--- a/packages/core/src/mountladder/forwarding/wholerun.py
+++ b/packages/core/src/mountladder/forwarding/wholerun.py
@@ -1,4 +1,4 @@
-# wholerun.py -- Execution of a forwarded request whose answer is buffered
+# wholerun.py -- Executes a forwarded request whose answer is buffered
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -60,7 +60,7 @@
                 continue
             if answer.status < SERVER_ERROR:
                 self.succeeded(attempt, answer.load, streaming=False)
-                self.case.answered()
+                self.tracked.answered()
             return ForwardAnswer(answer.status, answer.headers, body)
 
     def check(self, answer: UpstreamAnswer) -> None:
--- a/packages/core/src/mountladder/routing/costmodel.py
+++ b/packages/core/src/mountladder/routing/costmodel.py
@@ -18,6 +18,8 @@
 class CostModel:
     """Learns how long a stage takes on an unloaded server, by accelerator and input length.
 
+    The cost of a call is its duration here, not its price.
+
     Input lengths are grouped into classes of powers of two. A class without measurements on an
     accelerator takes the time of the nearest class that has some, scaled by the ratio of the two
     classes on another accelerator, where one has measurements of both.
@@ -63,7 +65,7 @@
         """Return the expected time on an unloaded server, in milliseconds."""
         classes = self.means.get((stage.work, stage.model, accelerator))
         if not classes:
-            return self.least_expected(stage, length)
+            return self.min_expected(stage, length)
         length_class = _length_class(length)
         value = classes.get(length_class)
         return self.extrapolate(stage, classes, length_class) if value is None else value
@@ -89,7 +91,7 @@
             classes = self.means.setdefault((stage.work, stage.model, accelerator), {})
             classes[_length_class(length)] = spent_ms * TIMEOUT_FACTOR
 
-    def least_expected(self, stage: Stage, length: int) -> float:
+    def min_expected(self, stage: Stage, length: int) -> float:
         """Return the shortest time known on any accelerator, so that a new one gets tried."""
         length_class = _length_class(length)
         known = [
