--- a/packages/core/src/mountladder/serverlimits/serverlimits.py
+++ b/packages/core/src/mountladder/serverlimits/serverlimits.py
@@ -34,7 +34,7 @@
     A service's coordinator spends the whole limit, for immediate requests and for reservations;
     the other instances ask the coordinator, and use servers without a limit on their own. An
     instance that cannot reach the coordinator spends a small fraction, so that all together stay
-    within one and a half times the limit (`Leadership.part`).
+    within one and a half times the limit (`Leadership.fraction`).
 
     Args:
         registry: The notices of servers, which hold their limits.
