--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-# capacity.py -- Regenerate the table of docs/CAPACITY.md from the benchmarks' output
+# capacity.py -- Writes benchmark results into the table of docs/CAPACITY.md
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Regenerate the table of docs/CAPACITY.md from the benchmarks' output."""
+"""Writes benchmark results into the table of docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Write the measured points, slopes and residuals between the page's two marks."""
+    """Replace the table between the two comments of the page by the current results."""
     lines = ["| measured | value | unit |", "|---|---|---|"]
     for name in NAMES:
         for figure in json.loads((OUT / f"{name}.json").read_text()):
--- a/bench/decision.py
+++ b/bench/decision.py
@@ -1,8 +1,8 @@
-# decision.py -- The time of one routing decision by the number of servers
+# decision.py -- Processor time of a routing decision by the number of servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The time of one routing decision by the number of servers."""
+"""Processor time of a routing decision by the number of servers."""
 
 from __future__ import annotations
 
--- a/bench/fits.py
+++ b/bench/fits.py
@@ -1,8 +1,8 @@
-# fits.py -- Straight lines through measured sizes
+# fits.py -- Linear fits of measured values
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Straight lines through measured sizes."""
+"""Linear fits of measured values."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     Attributes:
         name: What was measured.
         unit: The unit of the values.
-        of: What the sizes count.
-        sizes: The sizes.
-        values: What was measured at each.
+        of: The unit of the sizes.
+        sizes: The sizes, such as numbers of servers.
+        values: The measured value at each size.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
     @property
     def residual(self) -> float:
-        """The largest distance from the line, as a share of the largest value."""
+        """The largest distance of a point from the line, as a fraction of the largest value."""
         away = [abs(y - self.at(x)) for x, y in zip(self.sizes, self.values)]
         return max(away) / max(map(abs, self.values))
 
--- a/bench/store.py
+++ b/bench/store.py
@@ -1,8 +1,8 @@
-# store.py -- Transactions of the store by claims a second and by instances
+# store.py -- Store transactions by the rate of claims and by the number of instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Transactions of the store by claims a second and by instances."""
+"""Store transactions by the rate of claims and by the number of instances."""
 
 from __future__ import annotations
 
@@ -40,7 +40,12 @@
 
 
 def transactions(number: int, rate: int) -> float:
-    """Return the transactions a second of one data centre that claims keys."""
+    """Return the transactions a second of one data centre.
+
+    Args:
+        number: How many instances it has.
+        rate: How many keys they claim a second, in total.
+    """
     clock = VirtualClock()
     fleet = LocalFleet(clock)
     names = itertools.count()
--- a/features/lines.feature
+++ b/features/lines.feature
@@ -16,6 +16,6 @@
     And the station of each that was not on time is named
 
   Scenario: What became of requests by the size of their prompts
-    Given logs of 20 requests of a route, the 2 largest of which were refused at the door
+    Given logs of 20 requests of a route, the 2 largest of which were refused at admission
     When the account of the logs is asked for
-    Then it shows the largest tenth with 2 refused, 2 of them at the door, and the others on time
+    Then it shows the largest tenth with 2 refused, 2 of them at admission, and the others on time
--- a/packages/cli/src/mountladder_cli/__init__.py
+++ b/packages/cli/src/mountladder_cli/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- The operator's command of mountladder
+# __init__.py -- Command line for operators of mountladder
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The operator's command of mountladder."""
+"""Command line for operators of mountladder."""
--- a/packages/cli/src/mountladder_cli/applied.py
+++ b/packages/cli/src/mountladder_cli/applied.py
@@ -1,8 +1,8 @@
-# applied.py -- The outcome of a change
+# applied.py -- The result of applying a change to the configuration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The outcome of a change."""
+"""The result of applying a change to the configuration."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The outcome of a change that was accepted, or of one that changes nothing.
+    """The result of a change that was accepted or that changed nothing.
 
     Attributes:
         revision: The revision now in force.
-        changed: The keys of the documents it changed.
-        warnings: What an operator should know about the new configuration.
+        changed: The keys of the documents that it added, replaced or removed.
+        warnings: Problems of the new configuration that do not make it invalid.
     """
 
     revision: int
--- a/packages/cli/src/mountladder_cli/calls.py
+++ b/packages/cli/src/mountladder_cli/calls.py
@@ -1,7 +1,7 @@
-# calls.py -- Calls to instances over HTTP
+# calls.py -- HTTP client for the entry instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
-"""Calls to instances over HTTP."""
+"""HTTP client for the entry instances."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 def fetch(web: str, path: str, token: str, method: str = "GET") -> dict[str, object]:
-    """Return a page of an instance.
+    """Request a JSON page of an instance and return it decoded.
 
     Args:
         web: The instance's IP number and port.
         path: The path of the page.
-        token: What the instance asks operators for, or an empty string.
+        token: The operator token, or an empty string to send none.
         method: The HTTP method.
 
     Raises:
-        DocumentError: It does not answer, or refuses.
+        DocumentError: The instance does not answer, or its status is not 200.
     """
     url = f"http://{web}{path}"
     headers = {"Authorization": f"Bearer {token}"} if token else {}
@@ -51,16 +51,19 @@
     key: str = "",
     stream: bool = True,
 ) -> Iterator[bytes]:
-    """Send a request to an instance and yield its answer as it comes.
+    """Send a request to an instance and yield the body of the response as it arrives.
 
     Args:
         web: The instance's IP number and port.
         pipeline: The pipeline's name.
         token: The team's token.
         input_: The input, of any JSON type.
-        deadline_ms: How long it may take, or None for the pipeline's deadline.
+        deadline_ms: How long the request may take, or None for the pipeline's deadline.
         key: The Idempotency-Key, or an empty string.
         stream: Whether to ask for server-sent events.
+
+    Raises:
+        DocumentError: The instance cannot be reached or the connection broke.
     """
     body: dict[str, object] = {"input": input_}
     if deadline_ms is not None:
@@ -82,10 +85,10 @@
 
 
 def issue_keys(web: str, token: str, count: int = 1) -> list[str]:
-    """Return idempotency keys that an instance issued.
+    """Have an instance issue idempotency keys and return them.
 
     Raises:
-        DocumentError: The instance does not answer, or refuses.
+        DocumentError: The instance does not answer, or issues no keys.
     """
     url = f"http://{web}/v1/keys?count={count}"
     headers = {"Authorization": f"Bearer {token}"}
--- a/packages/cli/src/mountladder_cli/configuring.py
+++ b/packages/cli/src/mountladder_cli/configuring.py
@@ -26,11 +26,11 @@
 
 
 def read_files(files: tuple[Path, ...]) -> list[Document]:
-    """Return the documents of some files.
+    """Return the documents that configuration files define.
 
     Raises:
         DocumentError: A file cannot be read.
-        ExceptionGroup: Of an error for each fault in them.
+        ExceptionGroup: One error for each fault in a file.
     """
     documents: list[Document] = []
     for path in files:
@@ -43,7 +43,7 @@
 
 
 def show_applied(session: Session, applied: Applied) -> None:
-    """Print the outcome of a change."""
+    """Print the result of a change."""
     table = {
         "revision": applied.revision,
         "changed": list(applied.changed),
@@ -57,11 +57,11 @@
 
 @click.command("apply")
 @FILES
-@click.option("--revision", type=int, help="The revision that the change is made against.")
-@click.option("--wait", is_flag=True, help="Wait until every live instance has it in force.")
+@click.option("--revision", type=int, help="Fail unless this is the current revision.")
+@click.option("--wait", is_flag=True, help="Wait until every live instance uses the change.")
 @click.pass_obj
 def apply(session: Session, files: tuple[Path, ...], revision: int | None, wait: bool) -> None:
-    """Add or replace documents, all or none."""
+    """Add or replace the documents of files in one change."""
     behind = []
     with session.platform() as platform:
         documents = read_files(files)
@@ -81,7 +81,7 @@
 @FILES
 @click.pass_obj
 def diff(session: Session, files: tuple[Path, ...]) -> None:
-    """Show what applying some files would change."""
+    """Show what applying files would change."""
     with session.platform() as platform:
         base = porcelain.load(platform, session.clock)
         changed = porcelain.differing(base, read_files(files))
@@ -109,7 +109,7 @@
 @click.argument("name")
 @click.pass_obj
 def describe(session: Session, kind: str, name: str) -> None:
-    """Show one document whole."""
+    """Show every field of a document."""
     with session.platform() as platform:
         table = porcelain.find(porcelain.load(platform, session.clock), kind, name).table()
         session.show(table, lambda: "\n".join(f"{key}: {value}" for key, value in table.items()))
@@ -132,7 +132,7 @@
 @click.argument("labels", nargs=-1, required=True)
 @click.pass_obj
 def label(session: Session, kind: str, name: str, labels: tuple[str, ...]) -> None:
-    """Set labels with key=value, remove them with key-."""
+    """Set labels (key=value) or remove them (key-)."""
     with session.platform() as platform:
         pairs = dict(_pair(text) for text in labels)
         applied = porcelain.label(platform, session.clock, session.author, kind, name, pairs)
@@ -151,7 +151,7 @@
 @click.argument("server")
 @click.pass_obj
 def undrain(session: Session, server: str) -> None:
-    """Send new work to a backend server again."""
+    """Resume sending new work to a backend server."""
     _drain(session, server, False)
 
 
--- a/packages/cli/src/mountladder_cli/demo.py
+++ b/packages/cli/src/mountladder_cli/demo.py
@@ -1,8 +1,8 @@
-# demo.py -- The whole system in one process, shown at work
+# demo.py -- Demonstration of the whole system in one process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The whole system in one process, shown at work."""
+"""Demonstration of the whole system in one process."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 
 def run() -> int:
-    """Run the demonstration; return 0 where everything went as it must."""
+    """Run the demonstration; return 0 if every check passed, else 1."""
     with ExitStack() as stack:
         fleet = DemoFleet(SystemClock(), stack)
         checks = list(steps(fleet))
     for name, good in checks:
-        click.echo(f"{'ok  ' if good else 'BAD '} {name}")
+        click.echo(f"{'ok  ' if good else 'FAIL'} {name}")
     return 0 if all(good for _, good in checks) else 1
 
 
 def steps(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Go through the demonstration, yielding what was checked and whether it held."""
+    """Run each step of the demonstration; yield a description and result for each check."""
     documents = fleet.documents(example("harrowgate.toml"))
     applied = porcelain.apply(fleet.platform, fleet.clock, "demo", documents)
     behind = porcelain.wait_in_force(fleet.platform, fleet.clock, applied.revision, WAIT_MS)
@@ -56,19 +56,19 @@
 
 
 def long_document(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Send a long contract and show its stream."""
+    """Send a long document and show the answer and its trace."""
     text = (resources.files("mountladder_cli") / "examples" / "contract.txt").read_text()
     answer = fleet.ask("contract-digest", "contracts-token", {"text": text, "tokens": 60})
     click.echo(f"a contract of {len(text.split())} words:")
     show(answer)
-    yield "a long document is answered whole", answer.get("tokens") == 60
+    yield "a long document is answered completely", answer.get("tokens") == 60
     trace = porcelain.explain(fleet.platform, answer["request"])
-    click.echo(f"  explained in {len(trace['entries'])} steps, such as:")
+    click.echo(f"  its trace has {len(trace['entries'])} entries, such as:")
     click.echo(f"    {json.dumps(trace['entries'][1])}")
 
 
 def show(answer: dict[str, object]) -> None:
-    """Print an answer, its stages, where they ran and what they cost."""
+    """Print an answer, and the server, time and cost of each of its stages."""
     click.echo(f"  {str(answer.get('result', answer))[:70]}...")
     for stage in answer.get("stages", ()):
         click.echo(
@@ -78,7 +78,7 @@
 
 
 def short_ones(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Send a burst of short requests to all instances at once."""
+    """Send short requests to all instances concurrently."""
     tasks = [
         gevent.spawn(fleet.ask, "guest-reply", TOKEN, {"guest": number, "tokens": 10}, number)
         for number in range(SHORT_ONES)
@@ -86,27 +86,29 @@
     gevent.joinall(tasks)
     answers = [task.value for task in tasks]
     servers = {stage["server"] for answer in answers for stage in answer.get("stages", ())}
-    click.echo(f"{SHORT_ONES} short requests at once ran on {len(servers)} backend servers")
-    yield "a burst of short requests is answered whole", all(
+    click.echo(f"{SHORT_ONES} concurrent short requests ran on {len(servers)} backend servers")
+    yield "a burst of short requests is answered completely", all(
         answer.get("tokens") == 10 for answer in answers
     )
 
 
 def one_push(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Send a reservation push twice, to two data centres, with the same key."""
+    """Send a non-idempotent request to two data centres with the same idempotency key."""
     first = fleet.ask("reservation-push", TOKEN, PUSH, 0, "push-1")
     fleet.clock.sleep(200.0)
     second = fleet.ask("reservation-push", TOKEN, PUSH, 3, "push-1")
     show(first)
-    yield "a push and its repeat get one answer", first["request"] == second.get("request")
+    yield "a push and its repeat get the same answer", first["request"] == second.get("request")
     yield "the push ran once", fleet.runs("push") == 1
     key = porcelain.issue_keys(fleet.nodes[1].settings.web, TOKEN)[0]
     third = fleet.ask("reservation-push", TOKEN, PUSH, 2, key)
-    yield "a push with an issued key is relayed to its home", third.get("class") == "done"
+    yield "a push with an issued key is relayed to the issuing instance", third.get(
+        "class"
+    ) == "done"
 
 
 def refusals(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Send a request of each kind that is refused."""
+    """Send requests that must be refused, each for another reason."""
     refused = {
         1002: fleet.ask("guest-reply", "nobody", {}),
         1003: fleet.ask("no-such-pipeline", TOKEN, {}),
@@ -116,13 +118,13 @@
     }
     for number, answer in refused.items():
         click.echo(f"  refused: {answer.get('code')} {answer.get('title')}")
-        yield f"refusal {number} says that it did not run", (
+        yield f"refusal {number} states that the request did not run", (
             answer.get("code") == number and answer.get("class") == "not_run"
         )
 
 
 def drained(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Drain a backend server and see that it gets no more work."""
+    """Drain a backend server and check that it gets no more work."""
     applied = porcelain.drain(fleet.platform, fleet.clock, "demo", "llm-1", True)
     behind = porcelain.wait_in_force(fleet.platform, fleet.clock, applied.revision, WAIT_MS)
     before = len(fleet.standins["llm-1"].ran)
@@ -134,7 +136,7 @@
 
 
 def placed(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Want a new model on two engines a data centre and see it loaded by itself."""
+    """Configure a new model with two replicas in each data centre and check that it is loaded."""
     model = Model("reply-9b", {"work": "generate"}, "1", (), "role = generate", 2)
     servers = [
         dataclasses.replace(one, models=())
@@ -151,7 +153,7 @@
 
 
 def accounts(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
-    """Show what the work cost."""
+    """Show the cost of the work by stage."""
     for node in fleet.nodes:
         node.try_flush_cost()
     totals = porcelain.cost(fleet.platform)
@@ -160,12 +162,10 @@
         by_stage[charge.stage] = by_stage.get(charge.stage, 0.0) + amount.cost
     for stage, cost in sorted(by_stage.items()):
         click.echo(f"  cost of {stage:<10} {cost:.4f}")
-    yield "the cost of every stage is accounted for", {"encode", "generate", "push"} <= set(
-        by_stage
-    )
+    yield "the cost of every stage is recorded", {"encode", "generate", "push"} <= set(by_stage)
 
 
 def example(name: str) -> tuple[Document, ...]:
-    """Return the documents of a shipped example."""
+    """Return the documents of an example configuration that the package contains."""
     text = (resources.files("mountladder_cli") / "examples" / name).read_text()
     return parse_documents(text, name)
--- a/packages/cli/src/mountladder_cli/demofleet.py
+++ b/packages/cli/src/mountladder_cli/demofleet.py
@@ -1,8 +1,8 @@
-# demofleet.py -- Instances, stand-ins and callers in one process
+# demofleet.py -- Instances, a platform stand-in and server stand-ins in one process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances, stand-ins and callers in one process."""
+"""Instances, a platform stand-in and server stand-ins in one process."""
 
 from __future__ import annotations
 
@@ -39,12 +39,13 @@
 
 
 class DemoFleet:
-    """Two data centres of two instances each, with stand-ins of everything around them.
+    """Instances in several data centres, with stand-ins of the platform and of backend servers.
 
     Args:
         clock: The clock.
-        stack: Owns everything that is started.
-        places: The data centre and number of each instance.
+        stack: Stops everything that was started when it closes.
+        places: The data centre and number of each instance; by default two instances in each of
+            two data centres.
     """
 
     def __init__(
@@ -99,18 +100,18 @@
         return node
 
     def wait_ready(self) -> bool:
-        """Wait until every instance is ready; tell whether they are."""
+        """Wait until every instance is ready, at most READY_MS; return whether all are."""
         until = self.clock.now() + READY_MS
         while self.clock.now() < until and not all(node.ready for node in self.nodes):
             self.clock.sleep(20.0)
         return all(node.ready for node in self.nodes)
 
     def documents(self, documents: Sequence[Document]) -> tuple[Document, ...]:
-        """Start a stand-in of each backend server and return the documents with its address."""
+        """Start a stand-in of each backend server; return the documents with their addresses."""
         return tuple(self.served(one) if one.kind == "server" else one for one in documents)
 
     def served(self, server: Document) -> Document:
-        """Start a stand-in of a backend server."""
+        """Start a stand-in of a backend server; return the server with the stand-in's address."""
         speeds = Speeds(OLD_FACTOR if server.accelerator == "old" else 1.0, server.slots)
         standin = self.standins[server.name] = StandinServer(server.name, self.clock, speeds)
         if server.serves == "engine" and server.models:
@@ -141,6 +142,6 @@
         )
 
     def runs(self, work: str) -> int:
-        """Return how often a kind of work was run on all stand-ins."""
+        """Return how many calls of a kind of work all stand-ins began."""
         ran = itertools.chain.from_iterable(one.ran for one in self.standins.values())
         return sum(one.work == work for one in ran)
--- a/packages/cli/src/mountladder_cli/edit.py
+++ b/packages/cli/src/mountladder_cli/edit.py
@@ -1,8 +1,8 @@
-# edit.py -- What a change does
+# edit.py -- The documents that a change puts and deletes
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a change does."""
+"""The documents that a change puts and deletes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """What a change does to the configuration.
+    """The documents that a change puts into and deletes from the configuration.
 
     Attributes:
         puts: The documents it adds or replaces.
--- a/packages/cli/src/mountladder_cli/loglines.py
+++ b/packages/cli/src/mountladder_cli/loglines.py
@@ -1,24 +1,24 @@
-# loglines.py -- The log lines of one request
+# loglines.py -- Finding and formatting the log lines of a request
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The log lines of one request."""
+"""Finding and formatting the log lines of a request."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Iterable
 
-# What every line carries and nobody reads.
+# Fields that format_lines leaves out: they identify the line or the request, or are shown apart.
 _DULL = frozenset({"timestamp", "message_type", "task_uuid", "task_level", "request", "requests"})
 
 
 def lines_of(request: str, lines: Iterable[str]) -> list[dict[str, object]]:
-    """Return the log messages that name a request, the oldest first.
+    """Return the log messages that name a request, oldest first.
 
     Args:
         request: The request's id.
-        lines: JSON lines, in any order; whatever stands before the first brace is left out.
+        lines: JSON lines, in any order; text before the first brace is ignored.
     """
     found = []
     for line in lines:
@@ -29,7 +29,7 @@
 
 
 def shown(messages: list[dict[str, object]]) -> str:
-    """Return messages as text, a line each with the milliseconds since the first."""
+    """Return messages as text, one line each, with the milliseconds since the first one."""
     start = float(messages[0].get("timestamp", 0.0)) if messages else 0.0
     rows = []
     for message in messages:
@@ -40,7 +40,7 @@
 
 
 def message_of(line: str) -> dict[str, object]:
-    """Return the message of a log line, empty where it holds none."""
+    """Return the message of a log line, empty if it contains no JSON object."""
     try:
         message = json.loads(line[line.index("{") :])
     except ValueError:
--- a/packages/cli/src/mountladder_cli/lossaccount.py
+++ b/packages/cli/src/mountladder_cli/lossaccount.py
@@ -1,8 +1,8 @@
-# lossaccount.py -- Where the time of late and lost requests went
+# lossaccount.py -- Report of request outcomes and of where late requests spent their time
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Where the time of late and lost requests went."""
+"""Report of request outcomes and of where late requests spent their time."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 
 SPAN_SECONDS = 2.0
 OUTCOME_HEADS = " ".join(f"{name:>9}" for name in OUTCOMES)
-# The sizes that are counted apart, each with its part of a route's requests, the largest first.
+# Size classes of a route's requests with the fraction of the requests in each, largest first.
 SIZES = (("largest tenth", 0.1), ("fifth below", 0.2), ("the others", 0.7))
 
 
 def account_of(lines: Iterable[str]) -> list[RequestTrace]:
-    """Return what became of every request that log lines of instances tell of, oldest first.
+    """Return a trace of each request that the log lines of instances name, oldest first.
+
+    Requests whose "received" line is missing are left out.
 
     Args:
-        lines: JSON lines, in any order; whatever stands before the first brace is left out.
+        lines: JSON lines, in any order; text before the first brace is ignored.
     """
     messages: dict[str, list[dict[str, object]]] = defaultdict(list)
     for line in lines:
@@ -36,7 +38,10 @@
 
 
 def shown_account(traces: list[RequestTrace]) -> str:
-    """Return three tables: outcomes by span of time and by size, and where time went."""
+    """Return three tables as text: outcomes by time, outcomes by size, and where time was spent.
+
+    The first counts the outcomes of each route in spans of SPAN_SECONDS.
+    """
     if not traces:
         return "no request was received"
     start = traces[0].at
@@ -58,8 +63,8 @@
 
 
 def size_rows(traces: list[RequestTrace]) -> list[str]:
-    """Return the rows of a table of outcomes by route and size."""
-    rows = [f"{'route':20} {'size':13} {'tokens':>7} {OUTCOME_HEADS} {'at door':>9}"]
+    """Return the rows of the table of outcomes by route and size class."""
+    rows = [f"{'route':20} {'size':13} {'tokens':>7} {OUTCOME_HEADS} {'admission':>9}"]
     routes: dict[str, list[RequestTrace]] = defaultdict(list)
     for trace in traces:
         if trace.size:
@@ -77,7 +82,7 @@
 
 def _size_row(route: str, name: str, traces: list[RequestTrace]) -> str:
     counts = Counter(one.outcome for one in traces)
-    door = sum(one.station.startswith("door") for one in traces)
+    door = sum(one.station.startswith("admission") for one in traces)
     return f"{route:20} {name:13} {traces[-1].size:7} {_cells(counts)} {door or '':>9}"
 
 
--- a/packages/cli/src/mountladder_cli/main.py
+++ b/packages/cli/src/mountladder_cli/main.py
@@ -1,8 +1,8 @@
-# main.py -- The command mountladder
+# main.py -- Entry point of the mountladder command
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The command mountladder."""
+"""Entry point of the mountladder command."""
 
 from gevent import monkey
 
@@ -27,7 +27,7 @@
 def main(
     context: click.Context, platform: str, author: str, operator_token: str, output: str
 ) -> None:
-    """Operate mountladder: configure it, see what it does, send requests."""
+    """Configure mountladder, inspect it, and send requests to it."""
     context.obj = Session(platform, author, operator_token, output)
 
 
--- a/packages/cli/src/mountladder_cli/observing.py
+++ b/packages/cli/src/mountladder_cli/observing.py
@@ -1,8 +1,8 @@
-# observing.py -- Commands that show what the system does
+# observing.py -- Commands that show the state and history of the system
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands that show what the system does."""
+"""Commands that show the state and history of the system."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @click.option("--after", type=int, default=0, help="The revision to start after.")
 @click.pass_obj
 def history(session: Session, after: int) -> None:
-    """Show who changed what."""
+    """Show the accepted changes of the configuration and their authors."""
     with session.platform() as platform:
         rows = [
             {
@@ -40,7 +40,7 @@
 @click.command("status")
 @click.pass_obj
 def status(session: Session) -> None:
-    """Show every instance, the revision in force there and what it has running."""
+    """Show each instance with its revision of the configuration and its running requests."""
     with session.platform() as platform:
         standings = porcelain.status(platform, session.operator_token)
         rows = [{**asdict(one.instance), **one.table, "trouble": one.trouble} for one in standings]
@@ -56,7 +56,7 @@
 @click.argument("request")
 @click.pass_obj
 def explain(session: Session, request: str) -> None:
-    """Show why a request went where it went and what was retried or refused."""
+    """Show the servers chosen for a request, its retries and its refusals, with reasons."""
     with session.platform() as platform:
         table = porcelain.explain(platform, request, session.operator_token)
         lines = [f"request {table['request']} under revision {table['revision']}"]
@@ -71,7 +71,7 @@
 @click.command("cost")
 @click.pass_obj
 def cost(session: Session) -> None:
-    """Show what work cost by team, pipeline, stage and accelerator, wasted work apart."""
+    """Show the cost of work by team, pipeline, stage, accelerator and use (useful or wasted)."""
     with session.platform() as platform:
         totals = porcelain.cost(platform)
         rows = [{**asdict(charge), **asdict(amount)} for charge, amount in totals.items()]
@@ -89,10 +89,10 @@
 @click.argument("files", nargs=-1, type=click.File("r", encoding="utf-8", errors="replace"))
 @click.pass_obj
 def lines(session: Session, request: str, files: tuple[TextIO, ...]) -> None:
-    """Show every log line of one request, from the logs of any number of instances."""
+    """Show the log lines of a request, from the logs of any number of instances."""
     found = lines_of(request, (line for file in files for line in file))
     if not found:
-        raise click.ClickException(f"no line names {request}")
+        raise click.ClickException(f"no log line names request {request}")
     session.show(found, lambda: shown(found))
 
 
@@ -100,7 +100,7 @@
 @click.argument("files", nargs=-1, type=click.File("r", encoding="utf-8", errors="replace"))
 @click.pass_obj
 def account(session: Session, files: tuple[TextIO, ...]) -> None:
-    """Show what became of the requests in logs, and where the time of those not on time went."""
+    """Show the outcomes of the requests in logs, and where those not on time spent their time."""
     traces = account_of(line for file in files for line in file)
     session.show([asdict(one) for one in traces], lambda: shown_account(traces))
 
@@ -110,7 +110,7 @@
 @click.option("--lift", "lifted", default="", help="The fingerprint of a request to clear.")
 @click.pass_obj
 def quarantine(session: Session, address: str, lifted: str) -> None:
-    """Show which requests are barred since servers ended under them, or clear one.
+    """Show the requests that are suspected or barred because servers crashed on them, or clear one.
 
     ADDRESS is where an instance serves its metrics.
     """
--- a/packages/cli/src/mountladder_cli/porcelain.py
+++ b/packages/cli/src/mountladder_cli/porcelain.py
@@ -1,8 +1,8 @@
-# porcelain.py -- Everything an operator does, as functions
+# porcelain.py -- The operations of the command line as functions
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Everything an operator does, as functions."""
+"""The operations of the command line as functions."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
 def change(
     platform: Platform, clock: Clock, author: str, base: Configuration, edit: Edit
 ) -> Applied:
-    """Make one change against a configuration, whole or not at all.
+    """Make one change against a configuration, atomically.
 
     Raises:
-        ExceptionGroup: Of an error for each reference that would not hold.
+        ExceptionGroup: One error for each reference that would be broken.
         RevisionConflictError: Another change was accepted first.
-        StoreUnavailableError: Nothing was written.
-        StoreAmbiguousError: It could not be settled whether the change was accepted.
+        StoreUnavailableError: The store cannot be reached; nothing was written.
+        StoreAmbiguousError: It could not be determined whether the change was accepted.
     """
     if not edit.puts and not edit.deletes:
         return Applied(base.revision, (), ())
@@ -76,14 +76,14 @@
     documents: Sequence[Document],
     revision: int | None = None,
 ) -> Applied:
-    """Add or replace documents; those that are as they stand already are left out.
+    """Add or replace documents; unchanged ones are left out.
 
     Args:
         platform: The platform.
         clock: The clock.
-        author: Who makes the change.
+        author: The name recorded with the change.
         documents: The documents.
-        revision: The revision it is made against, or None for the newest.
+        revision: The revision that the change is based on, or None for the newest.
 
     Raises:
         RevisionConflictError: The newest revision is another one.
@@ -95,14 +95,14 @@
 
 
 def differing(base: Configuration, documents: Sequence[Document]) -> tuple[Document, ...]:
-    """Return the documents that differ from what stands."""
+    """Return the documents that differ from those of a configuration."""
     return tuple(one for one in documents if base.documents.get(one.key) != one)
 
 
 def amend(
     platform: Platform, clock: Clock, author: str, edit: Callable[[Configuration], Edit]
 ) -> Applied:
-    """Make a change that is worked out anew where another one was accepted first."""
+    """Make a change; compute it again, up to TRIES times, if another was accepted first."""
     for attempt in range(TRIES):
         base = load(platform, clock)
         try:
@@ -117,7 +117,7 @@
     """Return a document.
 
     Raises:
-        DocumentError: There is none of this kind and name.
+        DocumentError: The configuration has no document of this kind and name.
     """
     document = configuration.documents.get(f"{kind}/{name}")
     if document is None:
@@ -129,7 +129,7 @@
     """Remove a document."""
 
     def edit(base: Configuration) -> Edit:
-        """Work the change out."""
+        """Return the edit for a configuration."""
         return Edit((), (find(base, kind, name).key,))
 
     return amend(platform, clock, author, edit)
@@ -146,7 +146,7 @@
     """Set labels of a document; a label whose value is None is removed."""
 
     def edit(base: Configuration) -> Edit:
-        """Work the change out."""
+        """Return the edit for a configuration."""
         document = find(base, kind, name)
         merged = {**document.labels, **labels}
         kept = {key: value for key, value in merged.items() if value is not None}
@@ -159,7 +159,7 @@
     """Stop or resume sending new work to a backend server."""
 
     def edit(base: Configuration) -> Edit:
-        """Work the change out."""
+        """Return the edit for a configuration."""
         server = dataclasses.replace(find(base, "server", name), draining=draining)
         return Edit(differing(base, [server]), ())
 
@@ -175,12 +175,12 @@
 
 
 def cost(platform: Platform) -> dict[Charge, Amount]:
-    """Return the cost of all work so far, as far as instances have sent it."""
+    """Return the cost of all work that instances have recorded in the platform's table."""
     return read_totals(platform.table)
 
 
 def standing(instance: Instance, token: str) -> Standing:
-    """Ask an instance how it stands; one that does not answer is shown with the reason."""
+    """Fetch the status of an instance; if it does not answer, the result holds the reason."""
     try:
         table = fetch(instance.web, "/ops/status", token)
         return Standing(instance, table, "")
@@ -189,17 +189,17 @@
 
 
 def status(platform: Platform, token: str = "") -> list[Standing]:
-    """Ask every listed instance how it stands."""
+    """Fetch the status of every listed instance."""
     return [standing(one, token) for one in platform.instances.instances()]
 
 
 def wait_in_force(
     platform: Platform, clock: Clock, revision: int, limit_ms: float, token: str = ""
 ) -> list[Standing]:
-    """Wait until every listed instance that stays has a revision in force.
+    """Wait until every listed instance that is not leaving uses a revision or a newer one.
 
     Returns:
-        The instances that do not have it when the time is over.
+        The instances that do not use it after limit_ms.
     """
     until = clock.now() + limit_ms
     while True:
@@ -214,10 +214,10 @@
 
 
 def explain(platform: Platform, wanted: str, token: str = "") -> dict[str, object]:
-    """Return what happened to a request, from whichever instance took it.
+    """Return the trace of a request, from the instance that received it.
 
     Raises:
-        DocumentError: No reachable instance knows of it.
+        DocumentError: The instance is not listed, does not answer or does not know the request.
     """
     for instance in platform.instances.instances():
         if wanted.startswith(instance.incarnation):
@@ -226,22 +226,22 @@
 
 
 def quarantined(address: str, token: str) -> list[dict[str, object]]:
-    """Return the requests under which servers ended, as an instance knows them.
+    """Return the suspects that an instance knows: requests on which servers crashed.
 
     Args:
         address: The IP number and port of the instance's metrics.
-        token: The key that all instances share.
+        token: The secret that all instances share.
 
     Raises:
-        DocumentError: The instance does not answer, or refuses.
+        DocumentError: The instance does not answer, or refuses the token.
     """
     return fetch(address, "/quarantine", token)["suspects"]
 
 
 def lift(address: str, token: str, fingerprint: str) -> None:
-    """Clear a request under which servers ended, on all instances.
+    """Clear a suspect on all instances.
 
     Raises:
-        DocumentError: The instance does not answer, refuses, or knows nothing against it.
+        DocumentError: The instance does not answer, refuses the token, or knows no such suspect.
     """
     fetch(address, f"/quarantine/{fingerprint}", token, "DELETE")
--- a/packages/cli/src/mountladder_cli/requesttrace.py
+++ b/packages/cli/src/mountladder_cli/requesttrace.py
@@ -1,8 +1,8 @@
-# requesttrace.py -- What became of one request, by its log lines
+# requesttrace.py -- The outcome of a request, derived from its log lines
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What became of one request, by its log lines."""
+"""The outcome of a request, derived from its log lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from mountladder.code import Code
 from mountladder.resultclass import ResultClass
 
-# Generating a token weighs about as much as reading ten.
+# Generating a token takes about as much work as reading ten tokens of a prompt.
 OUTPUT_WEIGHT = 10
 _NOT_RUN = frozenset(one.number for one in Code if one.result is ResultClass.NOT_RUN)
 OUTCOMES = ("on time", "late", "refused", "again", "left", "failed", "unended")
@@ -20,16 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTrace:
-    """What became of one request.
+    """The outcome of one request, and where most of its time was spent.
 
     Attributes:
         request: Its id.
         route: The name of its route.
-        at: When it was received, in seconds.
-        outcome: One of OUTCOMES: answered on time or late, refused at its first try or again,
-            left by its caller, failed, or cut off by the end of its instance.
-        station: Where its time went, or empty where it was on time.
-        size: How much work its prompt is, in tokens that are read; 0 where it has none.
+        at: When it was received, as a Unix time in seconds.
+        outcome: One of OUTCOMES: answered "on time" or "late", "refused" at its first attempt,
+            refused "again" at a later one, "left" (cancelled by its caller), "failed", or
+            "unended" (its instance logged no end).
+        station: Where most of its time was spent, or empty if it was on time.
+        size: The work of its prompt and answer, in prompt tokens; 0 if it has no prompt.
     """
 
     request: str
@@ -41,7 +42,15 @@
 
     @classmethod
     def of(cls, request: str, messages: list[Message]) -> RequestTrace | None:
-        """Return what the messages that name a request tell; None where it was not received."""
+        """Return the trace of a request by the log messages that name it.
+
+        Args:
+            request: Its id.
+            messages: The messages, in any order.
+
+        Returns:
+            The trace, or None if no message says that the request was received.
+        """
         ordered = sorted(messages, key=_at)
         stations = _Stations({str(one.get("message_type")): one for one in reversed(ordered)})
         received = stations.first.get("received")
@@ -61,7 +70,7 @@
     first: dict[str, Message]
 
     def outcome(self) -> str:
-        """Return what became of the request, one of OUTCOMES."""
+        """Return the outcome of the request, one of OUTCOMES."""
         ended = self.first.get("ended")
         if ended is None:
             return "unended"
@@ -77,7 +86,7 @@
         return "on time" if float(timed.get("elapsed_ms") or 0.0) <= aim_ms else "late"
 
     def longest(self, ordered: list[Message]) -> str:
-        """Return where most of the time went."""
+        """Return where most of the time was spent: at a stage, a server or admission."""
         if "sent" not in self.first and "stages-done" not in self.first:
             return self.before_sending(ordered)
         start = _at(self.first["received"])
@@ -89,14 +98,14 @@
         return f"server {self.first.get('sent', {}).get('server', '')}"
 
     def before_sending(self, ordered: list[Message]) -> str:
-        """Return where the time of a request went that was sent to no server."""
+        """Return where a request that was sent to no server spent its time."""
         if "let-in" not in self.first:
-            return f"door: code {self.first.get('ended', {}).get('code', 0)}"
+            return f"admission: code {self.first.get('ended', {}).get('code', 0)}"
         return self.stage(ordered)
 
     @staticmethod
     def stage(ordered: list[Message]) -> str:
-        """Return the stage service that was waited for longest between two calls."""
+        """Return the stage service that the request waited for longest in all its calls."""
         start = _at(ordered[0])
         waits: dict[str, float] = {}
         for one in ordered:
--- a/packages/cli/src/mountladder_cli/session.py
+++ b/packages/cli/src/mountladder_cli/session.py
@@ -1,8 +1,8 @@
-# session.py -- What every command shares
+# session.py -- Global options and output of the command line
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What every command shares."""
+"""Global options and output of the command line."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """What every command shares.
+    """The global options, and printing of results and errors.
 
     Attributes:
         base: The platform's base URL.
-        author: Who makes changes.
-        operator_token: The token that instances ask operators for.
+        author: The name recorded with changes.
+        operator_token: The token that instances require of operators.
         output: "text" or "json".
         clock: The clock.
     """
@@ -43,13 +43,13 @@
 
     @contextmanager
     def platform(self) -> Iterator[Platform]:
-        """Open the platform; print every error of the block and end."""
+        """Open the platform; print the errors that the block raises and exit."""
         with ExitStack() as stack, self.errors():
             yield http_platform(self.base, self.clock, stack)
 
     @contextmanager
     def errors(self) -> Iterator[None]:
-        """Print every error of the block and end."""
+        """Print the errors that the block raises and exit with EXIT_FAILED."""
         with ExitStack() as stack:
             try:
                 yield
@@ -59,7 +59,7 @@
                 stack.callback(sys.exit, EXIT_FAILED)
 
     def show(self, table: object, text: Callable[[], str]) -> None:
-        """Print a result as JSON or as text."""
+        """Print a result as JSON, or the text that a function returns for it."""
         if self.output == "json":
             click.echo(json.dumps(table, indent=2))
         else:
@@ -67,7 +67,7 @@
 
 
 def flatten(group: BaseExceptionGroup) -> Iterator[BaseException]:
-    """Yield every error of a group and of the groups within it."""
+    """Yield each error of a group and of its nested groups."""
     for error in group.exceptions:
         if isinstance(error, BaseExceptionGroup):
             yield from flatten(error)
--- a/packages/cli/src/mountladder_cli/standing.py
+++ b/packages/cli/src/mountladder_cli/standing.py
@@ -1,8 +1,8 @@
-# standing.py -- How an instance stands
+# standing.py -- The status of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""How an instance stands."""
+"""The status of an instance."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """How an instance stands.
+    """The status of an instance, or why it could not be fetched.
 
     Attributes:
         instance: The instance as the platform lists it.
-        table: Its own status page, empty where it did not answer.
+        table: Its status page, empty if it did not answer.
         trouble: Why it did not answer, or an empty string.
     """
 
@@ -27,5 +27,5 @@
 
     @property
     def revision(self) -> int:
-        """Return the revision in force there; -1 where it did not answer."""
+        """Return the revision that the instance uses; -1 if it did not answer."""
         return int(self.table.get("revision", -1))
--- a/packages/cli/src/mountladder_cli/trying.py
+++ b/packages/cli/src/mountladder_cli/trying.py
@@ -1,8 +1,8 @@
-# trying.py -- Commands that send requests
+# trying.py -- Commands that send requests and run the demonstration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands that send requests."""
+"""Commands that send requests and run the demonstration."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 @click.option("--token", envvar="MOUNTLADDER_TOKEN", required=True, help="The team's token.")
 @click.option("--deadline-ms", type=float)
 @click.option("--key", default="", help="The Idempotency-Key.")
-@click.option("--issue-key", is_flag=True, help="Let the instance issue the key.")
+@click.option("--issue-key", is_flag=True, help="Have the instance issue the key.")
 @click.pass_obj
 def request(
     session: Session,
@@ -36,7 +36,7 @@
     key: str,
     issue_key: bool,
 ) -> None:
-    """Send a request and show its answer; the input is JSON, or text where it is not."""
+    """Send a request and print its answer; an INPUT_TEXT that is not JSON is sent as a string."""
     whole = b""
     try:
         input_ = json.loads(input_text)
@@ -58,7 +58,7 @@
 
 @click.command("demo")
 def demo() -> None:
-    """Run the whole system in this process on stand-ins and show what it does."""
+    """Run instances, a platform and backend servers in one process and check what they do."""
     sys.exit(demonstration.run())
 
 
--- a/packages/standins/src/mountladder_standins/__init__.py
+++ b/packages/standins/src/mountladder_standins/__init__.py
@@ -1,5 +1,5 @@
-# __init__.py -- Small stand-ins of the platform and of backend servers
+# __init__.py -- Stand-ins of the platform and of backend servers, for tests and trials
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Small stand-ins of the platform and of backend servers."""
+"""Stand-ins of the platform and of backend servers, for tests and trials."""
--- a/packages/standins/src/mountladder_standins/faultplan.py
+++ b/packages/standins/src/mountladder_standins/faultplan.py
@@ -1,8 +1,8 @@
-# faultplan.py -- Faults drawn at random
+# faultplan.py -- Injection of random faults into a fleet
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Faults drawn at random."""
+"""Injection of random faults into a fleet."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 class FaultPlan:
-    """Draws faults and brings them about in a fleet.
+    """Draws random faults and injects them into a fleet.
 
     Args:
         fleet: The fleet.
-        rng: The source of chance.
+        rng: The random number generator.
 
     Attributes:
-        kinds: What was brought about, in order.
+        kinds: The names of the actions so far, in order.
     """
 
     def __init__(self, fleet: LocalFleet, rng: random.Random) -> None:
@@ -51,7 +51,7 @@
         self.started = 0
 
     def step(self) -> None:
-        """Bring about one fault, or mend one."""
+        """Inject a random fault, or repair some."""
         act = self.rng.choice(
             (
                 self.break_server,
@@ -67,42 +67,42 @@
         act()
 
     def break_server(self) -> None:
-        """Give a backend server a fault."""
+        """Inject a fault into a backend server."""
         name = self.rng.choice(sorted(self.fleet.servers))
         self.fleet.servers[name].faults = self.rng.choice(SERVER_FAULTS)
 
     def mend_servers(self) -> None:
-        """Mend every backend server."""
+        """Remove the faults of every backend server."""
         for server in self.fleet.servers.values():
             server.faults = Faults()
 
     def break_store(self) -> None:
-        """Give the platform a fault."""
+        """Inject a fault into the platform, for all instances."""
         self.fleet.standin.set_faults(self.rng.choice(STORE_FAULTS))
 
     def mend_store(self) -> None:
-        """Mend the platform and every instance's way to it."""
+        """Remove the faults of the platform and of every instance's connection to it."""
         self.fleet.standin.set_faults(Faults())
         for name in self.fleet.runtimes:
             self.fleet.cut_platform(name, Faults())
 
     def cut_link(self) -> None:
-        """Cut one instance off from the platform."""
+        """Inject a fault into one instance's connection to the platform."""
         name = self.rng.choice(sorted(self.fleet.runtimes))
         self.fleet.cut_platform(name, self.rng.choice(STORE_FAULTS))
 
     def cut_datacentres(self) -> None:
-        """Cut the data centres off from each other, or end that."""
+        """Partition the data centres from each other, or remove the partition."""
         self.fleet.network.cut ^= {frozenset(DATACENTRES)}
 
     def replace_instance(self) -> None:
-        """Kill an instance and start another in its place."""
+        """Kill an instance and start another of the same name."""
         name = self.rng.choice(sorted(self.fleet.runtimes))
         self.fleet.kill(name)
         self.fleet.start(name, name[0])
 
     def mend_all(self) -> None:
-        """Mend everything."""
+        """Remove all faults."""
         self.mend_servers()
         self.mend_store()
         self.fleet.network.cut.clear()
--- a/packages/standins/src/mountladder_standins/faultyinstancelist.py
+++ b/packages/standins/src/mountladder_standins/faultyinstancelist.py
@@ -1,8 +1,8 @@
-# faultyinstancelist.py -- A list of instances with faults
+# faultyinstancelist.py -- A list of instances with injected faults
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A list of instances with faults."""
+"""A list of instances with injected faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FaultyInstanceList(InstanceList):
-    """Passes calls on to another list, with faults that a test switches on."""
+    """Forwards calls to another list and injects the faults that are set."""
 
     def __init__(self, inner: InstanceList) -> None:
         self.inner = inner
@@ -30,6 +30,6 @@
         self.inner.announce(instance)
 
     def check(self) -> None:
-        """Be down."""
+        """Raise an error if the list is down."""
         if self.faults.down:
             raise StoreUnavailableError("the list of instances is down")
--- a/packages/standins/src/mountladder_standins/faultyobjectstore.py
+++ b/packages/standins/src/mountladder_standins/faultyobjectstore.py
@@ -1,8 +1,8 @@
-# faultyobjectstore.py -- An object store with faults
+# faultyobjectstore.py -- An object store with injected faults
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An object store with faults."""
+"""An object store with injected faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FaultyObjectStore(ObjectStore):
-    """Passes calls on to another object store, with faults that a test switches on."""
+    """Forwards calls to another object store and injects the faults that are set."""
 
     def __init__(self, inner: ObjectStore, clock: Clock) -> None:
         self.inner = inner
@@ -31,7 +31,7 @@
         self.inner.put(name, value)
 
     def delay(self) -> None:
-        """Be slow or down."""
+        """Delay the call if the store is slow; raise an error if it is down."""
         if self.faults.slow_ms:
             self.clock.sleep(self.faults.slow_ms)
         if self.faults.down:
--- a/packages/standins/src/mountladder_standins/forwardfleet.py
+++ b/packages/standins/src/mountladder_standins/forwardfleet.py
@@ -1,8 +1,8 @@
-# forwardfleet.py -- Instances that forward requests, within this process
+# forwardfleet.py -- Forwarding instances with in-memory servers and platform, in one process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances that forward requests, within this process."""
+"""Forwarding instances with in-memory servers and platform, in one process."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 
 class ForwardFleet:
-    """Instances on virtual time, before stand-in servers and the in-memory twins of the platform.
+    """Forwarding instances on virtual time, with in-memory backend servers and platform.
 
     Args:
         clock: The clock.
 
     Attributes:
-        instances: The instances by name; a name starts with its data centre.
-        catalogues: Every catalogue that was ever written, by version.
-        cores: How many processor cores an instance has, where it is not one.
-        sequences: How often each server's entry was written.
+        instances: The instances by name; a name begins with its data centre and a hyphen.
+        catalogues: Every catalogue that was written, by version.
+        cores: How many processor cores an instance has, by its name; 1 for those not in it.
+        sequences: How often each server's entry was written, by the server's name.
     """
 
     def __init__(self, clock: VirtualClock) -> None:
@@ -65,12 +65,12 @@
         self.copied_instances: dict[str, list[tuple[float, Instance]]] = {}
 
     def configure(self, catalogue: Catalogue) -> None:
-        """Write a catalogue, as the operator does."""
+        """Write a catalogue to the platform's table, as an operator does."""
         self.catalogues[catalogue.version] = catalogue
         self.catalogue.put(CATALOGUE, str(catalogue.version).encode())
 
     def decode(self, encoded: bytes) -> Catalogue:
-        """Read a catalogue."""
+        """Return the catalogue for the value of a row."""
         try:
             return self.catalogues[int(encoded)]
         except (ValueError, KeyError) as error:
@@ -85,13 +85,22 @@
         born: int = 0,
         cold_ms: float = 0.0,
     ) -> None:
-        """List a server, or list it anew."""
+        """Write the entry of a server, new or again.
+
+        Args:
+            name: The server's name.
+            service: The service that it serves.
+            datacentre: Its data centre.
+            draining: Whether it is to get no new requests.
+            born: When it started, as its entry says.
+            cold_ms: For how long it is still cold, in milliseconds.
+        """
         self.sequences[name] = self.sequences.get(name, 0) + 1
         value = [service, datacentre, draining, born, self.sequences[name], cold_ms]
         self.servers.put(name, json.dumps(value).encode())
 
     def decode_server(self, row: SourceRow) -> ServerRecord:
-        """Read an entry of a server."""
+        """Return the server record for a row; without a server if the row was deleted."""
         if row.value is None:
             return ServerRecord(row.key, row.position)
         try:
@@ -103,29 +112,29 @@
         return ServerRecord(row.key, row.position, service, server, born, sequence, cold_ms)
 
     def drain(self, datacentre: str) -> None:
-        """Ask that the servers of a data centre get nothing, as the operator does."""
+        """Drain a data centre, as an operator does: its servers get no new requests."""
         self.catalogue.put(DRAIN + datacentre, b"{}")
 
     def take_back(self, datacentre: str) -> None:
-        """Ask no more that the servers of a data centre get nothing."""
+        """Undo the drain of a data centre."""
         self.catalogue.put(DRAIN + datacentre, None)
 
     def keep_copy(self) -> None:
-        """Have the store keep a copy of all that it holds."""
+        """Save a copy of all that the store holds."""
         for source in (self.catalogue, self.servers):
             source.copy()
         self.copied_bars = dict(self.bars.rows)
         self.copied_instances = {name: list(one) for name, one in self.listed.history.items()}
 
     def come_back_older(self) -> None:
-        """Have the store come back from the copy, with all that was written since gone."""
+        """Restore the store from the saved copy, which loses all later writes."""
         self.bars.rows = dict(self.copied_bars)
         self.listed.history = {name: list(one) for name, one in self.copied_instances.items()}
         for source in (self.catalogue, self.servers):
             source.come_back_older()
 
     def start(self, name: str) -> ForwardingInstance:
-        """Start an instance, anew where it ran before."""
+        """Start an instance, or start it again with a new incarnation."""
         settings = ForwardingSettings(
             name=name,
             datacentre=name.partition("-")[0],
@@ -165,10 +174,10 @@
         return instance
 
     def send(self, name: str, request: ForwardRequest) -> ForwardAnswer:
-        """Have an instance serve a request."""
+        """Send a request to an instance and return its answer."""
         return self.instances[name].forwarder.serve(request)
 
     def stop(self) -> None:
-        """End every instance."""
+        """Close every instance."""
         for instance in self.instances.values():
             instance.close()
--- a/packages/standins/src/mountladder_standins/listening.py
+++ b/packages/standins/src/mountladder_standins/listening.py
@@ -1,8 +1,8 @@
-# listening.py -- Serving stand-ins on sockets
+# listening.py -- HTTP servers for stand-ins
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Serving stand-ins on sockets."""
+"""HTTP servers for stand-ins."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def listen(app: bottle.Bottle, address: str, stack: ExitStack) -> str:
-    """Serve an application until the stack closes it; return its IP number and port.
+    """Serve an application until a stack is closed; return its IP number and port.
 
     Args:
         app: The application.
-        address: The IP number and port; port 0 takes any free one.
-        stack: What owns the server.
+        address: The IP number and port; port 0 chooses any free one.
+        stack: The stack that stops the server when it is closed.
     """
     server = WSGIServer(listener(address), app, log=None, error_log=None)
     server.start()
@@ -30,7 +30,7 @@
 
 
 def free_address() -> str:
-    """Return a loopback address whose port is free at present."""
+    """Return a loopback address with a port that is free now; another process may take it."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         host, port = probe.getsockname()
--- a/packages/standins/src/mountladder_standins/localanswer.py
+++ b/packages/standins/src/mountladder_standins/localanswer.py
@@ -1,8 +1,8 @@
-# localanswer.py -- An answer of a stand-in server
+# localanswer.py -- An answer of an in-memory backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""An answer of a stand-in server."""
+"""An answer of an in-memory backend server."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class LocalAnswer(UpstreamAnswer):
-    """An answer in parts, each after a pause.
+    """An answer whose body arrives in parts, each after a pause.
 
     Args:
         clock: The clock.
         status: The HTTP status.
-        signed: Whether it bears the server's signature.
+        signed: Whether it has the header that identifies the server.
         parts: The parts of the body.
-        pause_ms: The pause before each part.
-        cut: Whether it breaks off behind the last part.
-        is_ended: Tells whether the server has ended, with all that it had under way.
+        pause_ms: The pause before each part, in milliseconds.
+        cut: Whether the connection breaks after the last part.
+        is_ended: Returns whether the server has crashed, which breaks all its connections.
 
     Attributes:
-        closed: Whether it was closed before its end.
+        closed: Whether it was closed.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
         if self.parts:
             self.clock.sleep(self.pause_ms)
             if self.is_ended():
-                raise StageError("the server has ended", Code.STREAM_CUT)
+                raise StageError("the server has crashed", Code.STREAM_CUT)
             return self.parts.pop(0)
         if self.cut:
-            raise StageError("the answer broke off", Code.STREAM_CUT)
+            raise StageError("the connection broke within the answer", Code.STREAM_CUT)
         return b""
 
     def close(self) -> None:
-        """Note that it is not read on; see UpstreamAnswer."""
+        """Record that it was closed; see UpstreamAnswer."""
         self.closed = True
--- a/packages/standins/src/mountladder_standins/localbackend.py
+++ b/packages/standins/src/mountladder_standins/localbackend.py
@@ -1,8 +1,8 @@
-# localbackend.py -- Calls to stand-in servers of the same process
+# localbackend.py -- Calls to stand-in servers in the same process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls to stand-in servers of the same process."""
+"""Calls to stand-in servers in the same process."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class LocalBackend(Backend):
-    """The in-memory twin of calls over HTTP.
+    """Calls stand-ins directly, in place of HTTP.
 
     Args:
-        servers: The stand-ins by name.
+        servers: The stand-ins by the server's name.
         clock: The clock.
     """
 
@@ -64,7 +64,7 @@
                 with self.clock.limit(limit):
                     event = next(events, b"")
                 if not event:
-                    raise StageError("the stream ended before its end", Code.STREAM_CUT)
+                    raise StageError("the stream broke off before its last event", Code.STREAM_CUT)
                 chunk = reader.feed(event, standin.reported_load())
                 if chunk is not None:
                     patience = call.stall_ms
@@ -75,14 +75,22 @@
             events.close()
 
     def reach(self, server: BackendServer) -> StandinServer:
-        """Return the stand-in of a server, where it can be reached."""
+        """Return the stand-in of a server.
+
+        Raises:
+            StageError: The server does not exist or is down.
+        """
         standin = self.servers.get(server.name)
         if standin is None or standin.faults.down:
             raise StageError(f"{server.name}: cannot be reached", Code.CONNECT_FAILED, False)
         return standin
 
     def check(self, standin: StandinServer, value: bytes) -> None:
-        """Show the faults of a connection."""
+        """Apply the faults of a connection.
+
+        Raises:
+            StageError: The answer is lost, malformed or another attempt's.
+        """
         faults = standin.faults
         if faults.foreign:
             raise StageError("the answer is for another attempt", Code.FOREIGN_ANSWER)
@@ -93,12 +101,12 @@
             raise StageError("the answer was lost", Code.STREAM_CUT)
 
     def refuses(self, server: BackendServer) -> bool:
-        """Tell whether nobody listens at a server's address; see Backend."""
+        """Return whether a server's address refuses connections; see Backend."""
         standin = self.servers.get(server.name)
         return standin is None or standin.faults.down
 
     def cancel(self, server: BackendServer, attempt: str) -> None:
-        """Ask a server to stop an attempt; see Backend."""
+        """Cancel an attempt on a server; see Backend."""
         standin = self.servers.get(server.name)
         if standin is not None:
             standin.cancel(attempt)
--- a/packages/standins/src/mountladder_standins/localengines.py
+++ b/packages/standins/src/mountladder_standins/localengines.py
@@ -1,8 +1,8 @@
-# localengines.py -- Orders to stand-in engines of the same process
+# localengines.py -- Orders to stand-in engines in the same process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders to stand-in engines of the same process."""
+"""Orders to stand-in engines in the same process."""
 
 from __future__ import annotations
 
@@ -18,10 +18,13 @@
 
 
 class LocalEngines(Engines):
-    """The in-memory twin of orders over HTTP.
+    """Sends orders to stand-ins directly, in place of HTTP.
 
     Args:
-        loaders: The stand-ins by the server's name.
+        loaders: The model loaders of the stand-ins, by the server's name.
+
+    Attributes:
+        down: The names of engines that cannot be reached.
     """
 
     def __init__(self, loaders: Mapping[str, StandinLoader]) -> None:
@@ -29,15 +32,19 @@
         self.down: set[str] = set()
 
     def state(self, server: BackendServer) -> EngineState:
-        """Return what an engine serves; see Engines."""
+        """Return which models an engine serves and loads; see Engines."""
         return self.reach(server).state()
 
     def order(self, server: BackendServer, order: Order) -> None:
-        """Order an engine; see Engines."""
+        """Send an order to an engine; see Engines."""
         self.reach(server).order(order)
 
     def reach(self, server: BackendServer) -> StandinLoader:
-        """Return the stand-in of an engine, where it can be reached."""
+        """Return the model loader of an engine.
+
+        Raises:
+            StageError: The engine does not exist or is down.
+        """
         if server.name in self.down or server.name not in self.loaders:
             raise StageError(f"{server.name}: cannot be reached", Code.CONNECT_FAILED, False)
         return self.loaders[server.name]
--- a/packages/standins/src/mountladder_standins/localfleet.py
+++ b/packages/standins/src/mountladder_standins/localfleet.py
@@ -1,8 +1,8 @@
-# localfleet.py -- A fleet of instances within one process
+# localfleet.py -- Entry instances, platform and backend servers in one process
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A fleet of instances within one process."""
+"""Entry instances, platform and backend servers in one process."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
     Args:
         clock: The clock, virtual or real.
-        lag_ms: How late the platform's list of instances is.
+        lag_ms: The delay until the platform's list of instances shows a change.
 
     Attributes:
         servers: The stand-in backend servers by name.
@@ -63,7 +63,14 @@
     def start(
         self, name: str, datacentre: str, policy: Policy | None = None, **changes: object
     ) -> Runtime:
-        """Start an instance; the changes go into its settings."""
+        """Start an instance.
+
+        Args:
+            name: Its name.
+            datacentre: Its data centre.
+            policy: Its routing policy, or None for the default.
+            **changes: Settings that differ from the defaults.
+        """
         settings = Settings(
             name=name,
             datacentre=datacentre,
@@ -89,12 +96,12 @@
         return runtime
 
     def seeds(self, datacentre: str) -> tuple[str, ...]:
-        """Return addresses to start from, those of the same data centre first."""
+        """Return the peer addresses of up to MOST_SEEDS instances, the same data centre first."""
         ordered = sorted(self.runtimes.values(), key=lambda one: one.me.datacentre != datacentre)
         return tuple(one.settings.peer for one in ordered[:MOST_SEEDS])
 
     def kill(self, name: str) -> None:
-        """End an instance as a killed process ends: at once, and nothing is said to anybody."""
+        """Stop an instance like a killed process: at once, without any message to others."""
         runtime = self.runtimes.pop(name)
         runtime.platform.table.faults = Faults(down=True)
         runtime.platform.instances.faults = Faults(down=True)
@@ -104,7 +111,7 @@
         self.calls.pop(name).kill()
 
     def cut_platform(self, name: str, faults: Faults) -> None:
-        """Set the faults that one instance meets at the platform."""
+        """Set the faults of one instance's connection to the platform."""
         platform = self.runtimes[name].platform
         platform.table.faults = faults
         platform.objects.faults = faults
@@ -113,7 +120,7 @@
     def append(
         self, puts: Sequence[Document], deletes: Sequence[str] = (), operation: str = ""
     ) -> Configuration:
-        """Make a change of the configuration; start a stand-in of each new backend server."""
+        """Change the configuration and start a stand-in of each new backend server."""
         log = ChangeLog(self.standin.table, self.standin.objects, self.clock)
         base = log.load()
         for document in puts:
@@ -122,7 +129,7 @@
         return log.append(base, name, "operator", puts, deletes)
 
     def serve(self, document: Document) -> None:
-        """Start a stand-in of a backend server that has none."""
+        """Start a stand-in if the document is a backend server that has none."""
         if isinstance(document, BackendServer) and document.name not in self.servers:
             factor = 3.0 if document.accelerator == "old" else 1.0
             speeds = Speeds(factor, document.slots)
@@ -134,7 +141,7 @@
             self.clock.sleep(50.0)
 
     def spawn(self, to: str, pipeline: str, token: str, input_: object, **more: object):
-        """Send a request in a task of its own and return the task; its value is an Outcome."""
+        """Send a request in its own task and return the task; its value is an Outcome."""
         group = self.calls[to]
         return group.spawn(self.ask, to, pipeline, token, input_, **more)
 
@@ -173,7 +180,7 @@
         return Outcome(result, code, answer, tuple(tokens), took, to)
 
     def read(self, runtime: Runtime, called: CallerRequest, tokens: list[int]) -> dict[str, object]:
-        """Read an answer to its end, adding the numbers of its tokens to a list."""
+        """Read an answer completely, adding the numbers of its tokens to a list."""
         reply = runtime.gateway.serve(called)
         if reply.home is not None:
             return self.relay(runtime, called, reply)
@@ -184,7 +191,10 @@
         return json.loads(reply.answer())
 
     def relay(self, runtime: Runtime, called: CallerRequest, reply: Reply) -> dict[str, object]:
-        """Ask the instance that issued a key, where it can be reached."""
+        """Relay a request to the instance that issued its key.
+
+        If that instance cannot be reached, the stored answer of the receiving one is returned.
+        """
         for home in self.runtimes.values():
             if home.me.incarnation == reply.home.incarnation and self.network.reachable(
                 runtime.me, home.me
@@ -193,7 +203,7 @@
         return json.loads(runtime.idempotency.stored_answer(reply.request).replay)
 
     def ran(self, work: str) -> list[str]:
-        """Return the attempts of a kind of work that were begun on all stand-ins."""
+        """Return the ids of the attempts of a kind of work that all stand-ins began."""
         return [
             one.attempt
             for server in self.servers.values()
@@ -202,7 +212,7 @@
         ]
 
     def stop(self) -> None:
-        """End every instance and call."""
+        """Kill every instance and call."""
         for name in list(self.runtimes):
             self.kill(name)
         gevent.sleep(0)
--- a/packages/standins/src/mountladder_standins/outcome.py
+++ b/packages/standins/src/mountladder_standins/outcome.py
@@ -1,8 +1,8 @@
-# outcome.py -- What a caller got
+# outcome.py -- The outcome of a request for its caller
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a caller got."""
+"""The outcome of a request for its caller."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
     Attributes:
         result: The class of the result: "done", "not_run", "failed" or "unknown".
-        code: The number of the code, 0 where it is done.
-        answer: The whole answer as JSON, where it is done.
-        tokens: The numbers of the tokens that were streamed, in order.
+        code: The number of the error code; 0 if the result is "done".
+        answer: The decoded JSON answer; empty unless the result is "done".
+        tokens: The numbers of the streamed tokens, in order of arrival.
         took_ms: How long it took, in the clock's milliseconds.
-        instance: The name of the instance that was asked.
+        instance: The name of the instance that received the request.
     """
 
     result: str
--- a/packages/standins/src/mountladder_standins/platformface.py
+++ b/packages/standins/src/mountladder_standins/platformface.py
@@ -1,8 +1,8 @@
-# platformface.py -- The HTTP face of the platform's stand-in
+# platformface.py -- HTTP interface of the platform stand-in
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The HTTP face of the platform's stand-in."""
+"""HTTP interface of the platform stand-in."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def platform_app(standin: StandinPlatform) -> bottle.Bottle:
-    """Return the application that serves a platform over HTTP."""
+    """Return the web application that serves a platform stand-in."""
     app = bottle.Bottle()
     app.install(_faults_as_statuses)
     app.get("/table/row", callback=lambda: read_row(standin))
@@ -46,7 +46,7 @@
 
 def _faults_as_statuses(callback):
     def guarded(*args, **kwargs):
-        """Call a route; answer errors with their status."""
+        """Call a route's handler and turn its errors into HTTP statuses."""
         try:
             return callback(*args, **kwargs)
         except StoreUnavailableError as error:
@@ -66,14 +66,14 @@
 
 
 def read_rows(standin: StandinPlatform) -> bottle.HTTPResponse:
-    """Return rows in order as JSON."""
+    """Return the rows with a prefix, in order of their keys, as JSON."""
     query = bottle.request.query
     rows = standin.table.scan(query["prefix"], query.get("after", ""), int(query["limit"]))
     return _json([_table(row) for row in rows])
 
 
 def commit(standin: StandinPlatform) -> bottle.HTTPResponse:
-    """Apply a transaction."""
+    """Apply a transaction; 409 with the failed keys if a condition does not hold."""
     writes = [_write(entry) for entry in json.loads(bottle.request.body.read())]
     try:
         return _json({"version": standin.table.commit(writes)})
@@ -99,19 +99,19 @@
 
 
 def announce(standin: StandinPlatform) -> str:
-    """Record an announcement."""
+    """Record the announcement of an instance."""
     standin.instances.announce(Instance(**json.loads(bottle.request.body.read())))
     return ""
 
 
 def set_faults(standin: StandinPlatform) -> str:
-    """Set the faults of every service."""
+    """Set the faults of the table, the object store and the instance list."""
     standin.set_faults(Faults.read(json.loads(bottle.request.body.read())))
     return ""
 
 
 def counts(standin: StandinPlatform) -> dict[str, int]:
-    """Return how often the table was read and written."""
+    """Return the counts of the table's reads, transactions and written rows."""
     table = standin.table
     return {"reads": table.reads, "commits": table.commits, "rows_written": table.rows_written}
 
--- a/packages/standins/src/mountladder_standins/ranstage.py
+++ b/packages/standins/src/mountladder_standins/ranstage.py
@@ -1,8 +1,8 @@
-# ranstage.py -- One run of a stage at a stand-in
+# ranstage.py -- Record of a call that a stand-in server began
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One run of a stage at a stand-in."""
+"""Record of a call that a stand-in server began."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RanStage:
-    """One call that a stand-in began to run.
+    """A call that a stand-in server began to run.
 
     Attributes:
-        server: The stand-in's name.
-        work: The kind of work, or the stage's name at a plain service.
+        server: The server's name.
+        work: The kind of work; for a plain service, the name of the stage.
         attempt: The attempt's id.
-        input_hash: A hash of the request's input.
+        input_hash: A short hash of the request's input.
         at_ms: When it began, in the clock's milliseconds.
     """
 
--- a/packages/standins/src/mountladder_standins/sentrequest.py
+++ b/packages/standins/src/mountladder_standins/sentrequest.py
@@ -1,8 +1,8 @@
-# sentrequest.py -- One request of an experiment
+# sentrequest.py -- A request of an experiment and its outcome
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One request of an experiment."""
+"""A request of an experiment and its outcome."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """One request of an experiment and what came of it.
+    """One request of an experiment and its outcome.
 
     Attributes:
-        kind: Its kind.
-        at_ms: When it was sent, in milliseconds after the start.
-        work_ms: Its time on a new generator that runs nothing else.
+        kind: Its traffic class.
+        at_ms: When it was sent, in milliseconds after the start of the measured load.
+        work_ms: How long it takes alone on a new generator, in milliseconds.
         outcome: What the caller got.
     """
 
@@ -30,9 +30,9 @@
 
     @property
     def ended_ms(self) -> float:
-        """Return when the caller got its outcome."""
+        """Return when the caller got its outcome, in milliseconds after the start."""
         return self.at_ms + self.outcome.took_ms
 
     def in_time(self, deadline_ms: float) -> bool:
-        """Tell whether it got its whole answer within a deadline."""
+        """Return whether it was answered completely within a deadline."""
         return self.outcome.result == "done" and self.outcome.took_ms <= deadline_ms
--- a/packages/standins/src/mountladder_standins/serverface.py
+++ b/packages/standins/src/mountladder_standins/serverface.py
@@ -1,8 +1,8 @@
-# serverface.py -- The HTTP face of a stand-in backend server
+# serverface.py -- HTTP interface of a stand-in backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The HTTP face of a stand-in backend server."""
+"""HTTP interface of a stand-in backend server."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def server_app(standin: StandinServer) -> bottle.Bottle:
-    """Return the application that serves a stand-in over HTTP, as an engine and as a service."""
+    """Return the web application that serves a stand-in, as an engine and as a plain service."""
     app = bottle.Bottle()
     app.post("/v1/cancel", callback=lambda: cancel(standin))
     app.get("/v1/state", callback=lambda: state(standin))
@@ -37,7 +37,7 @@
 
 
 def call(standin: StandinServer, work: str) -> object:
-    """Run a call; answer with JSON or a stream as the caller accepts."""
+    """Run a call; answer with JSON or a stream, by the request's Accept header."""
     attempt = bottle.request.get_header("X-Attempt", "")
     body = bottle.request.body.read()
     bottle.response.set_header("X-Attempt", FOREIGN_ATTEMPT if standin.faults.foreign else attempt)
@@ -61,7 +61,11 @@
 
 
 def stream(standin: StandinServer, attempt: str, body: bytes) -> Iterator[bytes]:
-    """Start a stream; what fails before its first event is raised here."""
+    """Start a stream and return its events.
+
+    The first event is produced here, so that an earlier failure is raised before the status is
+    sent.
+    """
     held = int(bottle.request.get_header("Last-Event-ID", "0"))
     events = standin.stream(attempt, body, held)
     first = list(itertools.islice(events, 1))
@@ -81,19 +85,19 @@
 
 
 def cancel(standin: StandinServer) -> str:
-    """Stop a call."""
+    """Cancel the call that the body names."""
     standin.cancel(json.loads(bottle.request.body.read())["attempt"])
     return ""
 
 
 def state(standin: StandinServer) -> dict[str, object]:
-    """Return which models are loaded."""
+    """Return the models that are loaded or loading, and the highest fencing number."""
     found = standin.loader.state() if standin.loader else EngineState((), (), 0)
     return {"models": dict(found.models), "loading": dict(found.loading), "fence": found.fence}
 
 
 def order(standin: StandinServer) -> str:
-    """Carry out an order."""
+    """Carry out an order to load models; 409 if its fencing number is outdated."""
     table = json.loads(bottle.request.body.read())
     try:
         if standin.loader is not None:
@@ -105,7 +109,7 @@
 
 
 def set_faults(standin: StandinServer) -> str:
-    """Set the faults."""
+    """Set the faults of the server."""
     try:
         standin.faults = Faults.read(json.loads(bottle.request.body.read()))
         if standin.loader is not None:
@@ -117,5 +121,5 @@
 
 
 def ran(standin: StandinServer) -> dict[str, object]:
-    """Return every call that was begun."""
+    """Return every call that the server began."""
     return {"ran": [asdict(one) for one in standin.ran]}
--- a/packages/standins/src/mountladder_standins/serverfault.py
+++ b/packages/standins/src/mountladder_standins/serverfault.py
@@ -1,8 +1,8 @@
-# serverfault.py -- What is wrong with a stand-in server
+# serverfault.py -- Kinds of faults of in-memory backend servers
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is wrong with a stand-in server."""
+"""Kinds of faults of in-memory backend servers."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class ServerFault(Enum):
-    """What is wrong with a stand-in server.
+    """Kinds of faults of an in-memory backend server.
 
-    The first three refuse without running anything; the others run the request first.
+    With the first three, the server refuses requests without running them; with the others, it
+    runs them first.
     """
 
     UNREACHABLE = "unreachable"
--- a/packages/standins/src/mountladder_standins/standinloader.py
+++ b/packages/standins/src/mountladder_standins/standinloader.py
@@ -1,8 +1,8 @@
-# standinloader.py -- The part of a stand-in engine that loads models
+# standinloader.py -- Model loading of a stand-in engine
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The part of a stand-in engine that loads models."""
+"""Model loading of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 
 
 class StandinLoader:
-    """Loads and drops models as ordered.
+    """Loads and unloads models by order.
 
     Args:
-        weights: Where models are downloaded from.
-        models: The models loaded at the start, each with its version, by name.
+        weights: The store that models are downloaded from.
+        models: The versions of the models that are loaded at the start, by the model's name.
 
     Attributes:
-        ignore_fencing: Whether orders with an old fencing number are carried out.
+        loading: The versions of the models that are being loaded, by the model's name.
+        fence: The highest fencing number of an order so far.
+        ignore_fencing: Whether orders with an outdated fencing number are carried out.
         orders: The orders that were carried out.
     """
 
@@ -35,16 +37,16 @@
         self.orders: list[Order] = []
 
     def state(self) -> EngineState:
-        """Return what is loaded."""
+        """Return the models that are loaded or loading, and the fencing number."""
         return EngineState(
             tuple(sorted(self.models.items())), tuple(sorted(self.loading.items())), self.fence
         )
 
     def order(self, order: Order) -> None:
-        """Carry out an order.
+        """Unload the models that an order does not name and start loading those that it adds.
 
         Raises:
-            OrderFencedError: A higher fencing number was given already.
+            OrderFencedError: An order with a higher fencing number came before.
         """
         if order.fence < self.fence and not self.ignore_fencing:
             raise OrderFencedError(f"{order.fence} after {self.fence}")
@@ -60,7 +62,7 @@
                 gevent.spawn(self.load, name, version)
 
     def load(self, name: str, version: str) -> None:
-        """Download a model and serve it."""
+        """Download a model and serve it, unless a later order replaced its version."""
         self.weights.download()
         if self.loading.get(name) == version:
             del self.loading[name]
--- a/packages/standins/src/mountladder_standins/standinplatform.py
+++ b/packages/standins/src/mountladder_standins/standinplatform.py
@@ -1,8 +1,8 @@
-# standinplatform.py -- A stand-in of the whole platform
+# standinplatform.py -- In-memory stand-in of the platform
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stand-in of the whole platform."""
+"""In-memory stand-in of the platform."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class StandinPlatform:
-    """The in-memory twins of the platform's services, with faults.
+    """The platform's table, object store and instance list in memory, with injected faults.
 
     Args:
         clock: The clock.
-        lag_ms: How late the list of instances shows a change.
+        lag_ms: The delay until the list of instances shows a change.
     """
 
     def __init__(self, clock: Clock, lag_ms: float = 0.0) -> None:
@@ -37,7 +37,7 @@
         return Platform(self.table, self.objects, self.instances)
 
     def view(self) -> Platform:
-        """Return the services as one more process sees them, with faults of their own."""
+        """Return the services with separate faults, for one instance's connection to them."""
         table = FaultyTable(self.table, self.clock)
         objects = FaultyObjectStore(self.objects, self.clock)
         return Platform(table, objects, FaultyInstanceList(self.instances))
--- a/packages/standins/src/mountladder_standins/trafficclass.py
+++ b/packages/standins/src/mountladder_standins/trafficclass.py
@@ -1,8 +1,8 @@
-# trafficclass.py -- One kind of request in a workload
+# trafficclass.py -- A class of requests in a workload
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""One kind of request in a workload."""
+"""A class of requests in a workload."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """One kind of request.
+    """A class of similar requests.
 
     Attributes:
-        pipeline: The pipeline.
-        team: The team that sends it.
-        share: Its share of the requests.
-        input_bytes: The length of its input.
-        tokens: How many tokens it generates.
+        pipeline: The pipeline that the requests name.
+        team: The team that sends them.
+        share: Their fraction of all requests.
+        input_bytes: The length of each input.
+        tokens: How many tokens each request generates.
     """
 
     pipeline: str
--- a/packages/standins/src/mountladder_standins/violation.py
+++ b/packages/standins/src/mountladder_standins/violation.py
@@ -1,8 +1,8 @@
-# violation.py -- A broken promise
+# violation.py -- A violated invariant
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""A broken promise."""
+"""A violated invariant."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise that a fault run found.
+    """An invariant that a fault run found violated.
 
     Attributes:
-        promise: The name of the promise.
-        detail: What broke it.
+        promise: The name of the invariant.
+        detail: What violated it.
     """
 
     promise: str
--- a/packages/standins/src/mountladder_standins/workloads.py
+++ b/packages/standins/src/mountladder_standins/workloads.py
@@ -1,8 +1,8 @@
-# workloads.py -- The workloads of both deployments
+# workloads.py -- The workloads of the experiments
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""The workloads of both deployments."""
+"""The workloads of the experiments."""
 
 from __future__ import annotations
 
