--- a/features/steps/coldserver_steps.py
+++ b/features/steps/coldserver_steps.py
@@ -272,7 +272,7 @@
     context.run(context.clock.sleep, float(before))
     for other in context.fleet.instances:
         context.fleet.network.parted.add(frozenset({"a-new", other}))
-    context.fleet.listed.history.clear()
+    context.fleet.instance_list.history.clear()
 
     def start():
         instance = context.fleet.start("a-new")
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -30,7 +30,7 @@
 
 @when('an operator labels "{name}" with {text}')
 def label(context, name, text):
-    context.run(lambda: context.fleet.append([labelled(context, name, text)]))
+    context.run(lambda: context.fleet.change_configuration([labelled(context, name, text)]))
 
 
 @when('an operator fails with {code:d} to label "{name}" with {text}')
@@ -39,7 +39,7 @@
 
     def attempt():
         try:
-            context.fleet.append([dataclasses.replace(team, labels={"x": text})])
+            context.fleet.change_configuration([dataclasses.replace(team, labels={"x": text})])
         except MountladderError as error:
             return error.code.number
         return 0
@@ -120,20 +120,24 @@
 @when("an operator drains {name}")
 def drain(context, name):
     server = log_of(context).load().documents[f"server/{name}"]
-    context.run(lambda: context.fleet.append([dataclasses.replace(server, draining=True)]))
+    context.run(
+        lambda: context.fleet.change_configuration([dataclasses.replace(server, draining=True)])
+    )
 
 
 @when('an operator sets the selector of team {name} to "{text}"')
 def select(context, name, text):
     team = log_of(context).load().documents[f"team/{name}"]
-    context.run(lambda: context.fleet.append([dataclasses.replace(team, selector=text)]))
+    context.run(
+        lambda: context.fleet.change_configuration([dataclasses.replace(team, selector=text)])
+    )
 
 
 @when("an operator makes {number:d} changes")
 def many(context, number):
     def work():
         for one in range(number):
-            context.fleet.append([labelled(context, "desk", f"n={one}")])
+            context.fleet.change_configuration([labelled(context, "desk", f"n={one}")])
             context.clock.sleep(10.0)
 
     context.run(work)
--- a/features/steps/division_steps.py
+++ b/features/steps/division_steps.py
@@ -74,7 +74,7 @@
 
 @then("every piece was made in the data centre of its request")
 def made_near(context):
-    for call in context.fleet.upstream.calls:
+    for call in context.fleet.upstream.piece_calls:
         where = call.server.removeprefix("enc-")[0]
         assert {piece.request[0] for piece in call.pieces} == {where}, call
 
@@ -115,7 +115,7 @@
 def made_everywhere(context):
     flooded = [
         call.server.removeprefix("enc-")[0]
-        for call in context.fleet.upstream.calls
+        for call in context.fleet.upstream.piece_calls
         if call.pieces[0].request.startswith("flood")
     ]
     assert set(flooded) == {"a", "b", "c"}, flooded
@@ -152,7 +152,7 @@
 
 @then("at most {number:d} full calls were made")
 def at_most(context, number):
-    calls = [one for one in context.fleet.upstream.calls if len(one.pieces) == BATCH.pieces]
+    calls = [one for one in context.fleet.upstream.piece_calls if len(one.pieces) == BATCH.pieces]
     assert len(calls) <= number, len(calls)
 
 
--- a/features/steps/era_steps.py
+++ b/features/steps/era_steps.py
@@ -60,19 +60,19 @@
 
 @when("the announcements of instances are watched")
 def watch(context):
-    plain = context.fleet.listed.announce
+    plain = context.fleet.instance_list.announce
     context.announced = []
 
     def announce(instance):
         context.announced.append((context.clock.now(), instance.name))
         plain(instance)
 
-    context.fleet.listed.announce = announce
+    context.fleet.instance_list.announce = announce
 
 
 @then("the store knows every instance")
 def all_listed(context):
-    listed = {one.name for one in context.fleet.listed.instances()}
+    listed = {one.name for one in context.fleet.instance_list.instances()}
     assert listed == set(context.fleet.instances), set(context.fleet.instances) - listed
 
 
--- a/features/steps/faultrun_steps.py
+++ b/features/steps/faultrun_steps.py
@@ -144,8 +144,8 @@
     for seed in range(MOST_SEEDS):
         run = fault_run(seed)
         with context.mutation():
-            run.play()
-        found += [one.promise for one in run.check()]
+            run.run_unchecked()
+        found += [one.invariant for one in run.check()]
         if promise in found:
             return
     raise AssertionError(f"{promise!r} was not found broken, only {set(found)}")
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -76,7 +76,7 @@
     made = LocalFleet(VirtualClock())
 
     def begin():
-        made.append([*parse_documents(BASE, "base"), *SERVERS])
+        made.change_configuration([*parse_documents(BASE, "base"), *SERVERS])
         made.start("a-1", "a")
         made.wait_ready()
 
--- a/features/steps/member_steps.py
+++ b/features/steps/member_steps.py
@@ -35,7 +35,7 @@
     def instances():
         raise StoreUnavailableError("the list cannot be read")
 
-    context.fleet.listed.instances = instances
+    context.fleet.instance_list.instances = instances
 
 
 @when("instance c-new starts with one seed, {seed}")
@@ -54,7 +54,7 @@
 
 @given("the platform's list has an instance d-1 that nobody has heard of")
 def listed(context):
-    context.fleet.listed.announce(Instance("d-1", "d1", "d", "", "d-1", cores=1.0, since=0))
+    context.fleet.instance_list.announce(Instance("d-1", "d1", "d", "", "d-1", cores=1.0, since=0))
 
 
 @then("every instance of data centre c knows d-1")
--- a/features/steps/quarantine_pipeline_steps.py
+++ b/features/steps/quarantine_pipeline_steps.py
@@ -18,7 +18,7 @@
 @given("an input that ends every engine which works on it")
 def deadly_input(context):
     for server in context.fleet.servers.values():
-        server.deadly[hash_of(b'{"room":13}')] = DEADLY_MS
+        server.crash_after_ms[hash_of(b'{"room":13}')] = DEADLY_MS
 
 
 @when("the input is sent {times:d} times every {ms:d} ms, each time to the next instance")
@@ -26,7 +26,7 @@
     def send_all():
         found = []
         for to in itertools.islice(itertools.cycle(context.fleet.runtimes), times):
-            found.append(context.fleet.ask(to, "reply", TOKEN, DEADLY))
+            found.append(context.fleet.send(to, "reply", TOKEN, DEADLY))
             context.clock.sleep(float(ms))
         return found
 
@@ -35,7 +35,7 @@
 
 @then("at most {number:d} engines have ended")
 def engines_ended(context, number):
-    ended = sum(server.starts - 1 for server in context.fleet.servers.values())
+    ended = sum(server.start_count - 1 for server in context.fleet.servers.values())
     assert 0 < ended <= number, ended
 
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -60,7 +60,7 @@
 
 @then("its stages were made twice")
 def made_twice(context):
-    made = [piece.stage for call in context.fleet.upstream.calls for piece in call.pieces]
+    made = [piece.stage for call in context.fleet.upstream.piece_calls for piece in call.pieces]
     assert sorted(made) == [0, 0, 1, 1], made
 
 
--- a/features/steps/withdrawal_steps.py
+++ b/features/steps/withdrawal_steps.py
@@ -122,7 +122,7 @@
 
 @then("{number:d} pieces of r were made")
 def made(context, number):
-    calls = context.fleet.upstream.calls
+    calls = context.fleet.upstream.piece_calls
     found = [piece for call in calls for piece in call.pieces if piece.request == "r"]
     assert len(found) == number, found
 
--- a/packages/cli/src/mountladder_cli/applied.py
+++ b/packages/cli/src/mountladder_cli/changeresult.py
@@ -1,4 +1,4 @@
-# applied.py -- The result of applying a change to the configuration
+# changeresult.py -- The result of applying a change to the configuration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class ChangeResult:
     """The result of a change that was accepted or that changed nothing.
 
     Attributes:
--- a/packages/cli/src/mountladder_cli/configuring.py
+++ b/packages/cli/src/mountladder_cli/configurationcommands.py
@@ -1,4 +1,4 @@
-# configuring.py -- Commands that read and change the configuration
+# configurationcommands.py -- Commands that read and change the configuration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -15,10 +15,10 @@
 from mountladder.configuration.documents import KINDS, parse_documents
 from mountladder.errors import DocumentError
 from mountladder_cli import porcelain
-from mountladder_cli.applied import Applied
+from mountladder_cli.changeresult import ChangeResult
 from mountladder_cli.session import EXIT_FAILED, Session
 
-WAIT_MS = 10_000.0
+WAIT_TIMEOUT_MS = 10_000.0
 KIND = click.Choice(sorted(KINDS))
 FILES = click.option(
     "-f", "--file", "files", multiple=True, required=True, type=click.Path(path_type=Path)
@@ -42,16 +42,16 @@
     return documents
 
 
-def show_applied(session: Session, applied: Applied) -> None:
+def show_result(session: Session, result: ChangeResult) -> None:
     """Print the result of a change."""
     table = {
-        "revision": applied.revision,
-        "changed": list(applied.changed),
-        "warnings": [str(warning) for warning in applied.warnings],
+        "revision": result.revision,
+        "changed": list(result.changed),
+        "warnings": [str(warning) for warning in result.warnings],
     }
-    lines = [f"revision {applied.revision}"]
-    lines += [f"  changed {key}" for key in applied.changed]
-    lines += [f"  warning {warning}" for warning in applied.warnings]
+    lines = [f"revision {result.revision}"]
+    lines += [f"  changed {key}" for key in result.changed]
+    lines += [f"  warning {warning}" for warning in result.warnings]
     session.show(table, lambda: "\n".join(lines))
 
 
@@ -65,14 +65,16 @@
     behind = []
     with session.platform() as platform:
         documents = read_files(files)
-        applied = porcelain.apply(platform, session.clock, session.author, documents, revision)
-        show_applied(session, applied)
+        result = porcelain.apply(platform, session.clock, session.author, documents, revision)
+        show_result(session, result)
         if wait:
             behind = porcelain.wait_in_force(
-                platform, session.clock, applied.revision, WAIT_MS, session.operator_token
+                platform, session.clock, result.revision, WAIT_TIMEOUT_MS, session.operator_token
             )
-    for one in behind:
-        click.echo(f"not in force on {one.instance.name}: {one.trouble or one.revision}", err=True)
+    for status in behind:
+        click.echo(
+            f"not in force on {status.instance.name}: {status.error or status.revision}", err=True
+        )
     if behind:
         sys.exit(EXIT_FAILED)
 
@@ -84,7 +86,7 @@
     """Show what applying files would change."""
     with session.platform() as platform:
         base = porcelain.load(platform, session.clock)
-        changed = porcelain.differing(base, read_files(files))
+        changed = porcelain.changed_documents(base, read_files(files))
         rows = [
             {"key": one.key, "change": "replace" if one.key in base.documents else "add"}
             for one in changed
@@ -122,8 +124,8 @@
 def delete(session: Session, kind: str, name: str) -> None:
     """Remove a document."""
     with session.platform() as platform:
-        applied = porcelain.delete(platform, session.clock, session.author, kind, name)
-        show_applied(session, applied)
+        result = porcelain.delete(platform, session.clock, session.author, kind, name)
+        show_result(session, result)
 
 
 @click.command("label")
@@ -135,8 +137,8 @@
     """Set labels (key=value) or remove them (key-)."""
     with session.platform() as platform:
         pairs = dict(_pair(text) for text in labels)
-        applied = porcelain.label(platform, session.clock, session.author, kind, name, pairs)
-        show_applied(session, applied)
+        result = porcelain.label(platform, session.clock, session.author, kind, name, pairs)
+        show_result(session, result)
 
 
 @click.command("drain")
@@ -157,8 +159,8 @@
 
 def _drain(session: Session, server: str, draining: bool) -> None:
     with session.platform() as platform:
-        applied = porcelain.drain(platform, session.clock, session.author, server, draining)
-        show_applied(session, applied)
+        result = porcelain.drain(platform, session.clock, session.author, server, draining)
+        show_result(session, result)
 
 
 def _line(document: Document) -> str:
--- a/packages/cli/src/mountladder_cli/demo.py
+++ b/packages/cli/src/mountladder_cli/demo.py
@@ -22,11 +22,11 @@
 from mountladder_cli import porcelain
 from mountladder_cli.demofleet import DemoFleet
 
-WAIT_MS = 2_000.0
-PLACED_MS = 8_000.0
-SHORT_ONES = 20
+CHANGE_TIMEOUT_MS = 2_000.0
+PLACEMENT_TIMEOUT_MS = 8_000.0
+SHORT_REQUESTS = 20
 TOKEN = "front-desk-token"
-PUSH = {"room": 12, "nights": 2}
+PUSH_INPUT = {"room": 12, "nights": 2}
 
 
 def run() -> int:
@@ -34,31 +34,33 @@
     with ExitStack() as stack:
         fleet = DemoFleet(SystemClock(), stack)
         checks = list(steps(fleet))
-    for name, good in checks:
-        click.echo(f"{'ok  ' if good else 'FAIL'} {name}")
-    return 0 if all(good for _, good in checks) else 1
+    for name, passed in checks:
+        click.echo(f"{'ok  ' if passed else 'FAIL'} {name}")
+    return 0 if all(passed for _, passed in checks) else 1
 
 
 def steps(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Run each step of the demonstration; yield a description and result for each check."""
-    documents = fleet.documents(example("harrowgate.toml"))
-    applied = porcelain.apply(fleet.platform, fleet.clock, "demo", documents)
-    behind = porcelain.wait_in_force(fleet.platform, fleet.clock, applied.revision, WAIT_MS)
-    click.echo(f"revision {applied.revision} accepted; {len(fleet.nodes)} instances have it")
+    documents = fleet.start_servers(example("harrowgate.toml"))
+    result = porcelain.apply(fleet.platform, fleet.clock, "demo", documents)
+    behind = porcelain.wait_in_force(
+        fleet.platform, fleet.clock, result.revision, CHANGE_TIMEOUT_MS
+    )
+    click.echo(f"revision {result.revision} accepted; {len(fleet.nodes)} instances have it")
     yield "the configuration is in force on every instance within 2 s", not behind
     yield from long_document(fleet)
-    yield from short_ones(fleet)
-    yield from one_push(fleet)
+    yield from short_requests(fleet)
+    yield from repeated_push(fleet)
     yield from refusals(fleet)
-    yield from drained(fleet)
-    yield from placed(fleet)
-    yield from accounts(fleet)
+    yield from drained_server(fleet)
+    yield from model_placement(fleet)
+    yield from costs(fleet)
 
 
 def long_document(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Send a long document and show the answer and its trace."""
     text = (resources.files("mountladder_cli") / "examples" / "contract.txt").read_text()
-    answer = fleet.ask("contract-digest", "contracts-token", {"text": text, "tokens": 60})
+    answer = fleet.send("contract-digest", "contracts-token", {"text": text, "tokens": 60})
     click.echo(f"a contract of {len(text.split())} words:")
     show(answer)
     yield "a long document is answered completely", answer.get("tokens") == 60
@@ -77,31 +79,31 @@
         )
 
 
-def short_ones(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
+def short_requests(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Send short requests to all instances concurrently."""
     tasks = [
-        gevent.spawn(fleet.ask, "guest-reply", TOKEN, {"guest": number, "tokens": 10}, number)
-        for number in range(SHORT_ONES)
+        gevent.spawn(fleet.send, "guest-reply", TOKEN, {"guest": number, "tokens": 10}, number)
+        for number in range(SHORT_REQUESTS)
     ]
     gevent.joinall(tasks)
     answers = [task.value for task in tasks]
     servers = {stage["server"] for answer in answers for stage in answer.get("stages", ())}
-    click.echo(f"{SHORT_ONES} concurrent short requests ran on {len(servers)} backend servers")
+    click.echo(f"{SHORT_REQUESTS} concurrent short requests ran on {len(servers)} backend servers")
     yield "a burst of short requests is answered completely", all(
         answer.get("tokens") == 10 for answer in answers
     )
 
 
-def one_push(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
+def repeated_push(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Send a non-idempotent request to two data centres with the same idempotency key."""
-    first = fleet.ask("reservation-push", TOKEN, PUSH, 0, "push-1")
+    first = fleet.send("reservation-push", TOKEN, PUSH_INPUT, 0, "push-1")
     fleet.clock.sleep(200.0)
-    second = fleet.ask("reservation-push", TOKEN, PUSH, 3, "push-1")
+    second = fleet.send("reservation-push", TOKEN, PUSH_INPUT, 3, "push-1")
     show(first)
     yield "a push and its repeat get the same answer", first["request"] == second.get("request")
-    yield "the push ran once", fleet.runs("push") == 1
+    yield "the push ran once", fleet.count_runs("push") == 1
     key = porcelain.issue_keys(fleet.nodes[1].settings.web, TOKEN)[0]
-    third = fleet.ask("reservation-push", TOKEN, PUSH, 2, key)
+    third = fleet.send("reservation-push", TOKEN, PUSH_INPUT, 2, key)
     yield "a push with an issued key is relayed to the issuing instance", third.get(
         "class"
     ) == "done"
@@ -110,11 +112,11 @@
 def refusals(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Send requests that must be refused, each for another reason."""
     refused = {
-        1002: fleet.ask("guest-reply", "nobody", {}),
-        1003: fleet.ask("no-such-pipeline", TOKEN, {}),
-        1004: fleet.ask("reservation-push", TOKEN, PUSH),
-        1005: fleet.ask("reservation-push", TOKEN, {"room": 13}, 0, "push-1"),
-        2001: fleet.ask("guest-reply", TOKEN, {"tokens": 10}, 0, "", 1.0),
+        1002: fleet.send("guest-reply", "nobody", {}),
+        1003: fleet.send("no-such-pipeline", TOKEN, {}),
+        1004: fleet.send("reservation-push", TOKEN, PUSH_INPUT),
+        1005: fleet.send("reservation-push", TOKEN, {"room": 13}, 0, "push-1"),
+        2001: fleet.send("guest-reply", TOKEN, {"tokens": 10}, 0, "", 1.0),
     }
     for number, answer in refused.items():
         click.echo(f"  refused: {answer.get('code')} {answer.get('title')}")
@@ -123,19 +125,21 @@
         )
 
 
-def drained(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
+def drained_server(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Drain a backend server and check that it gets no more work."""
-    applied = porcelain.drain(fleet.platform, fleet.clock, "demo", "llm-1", True)
-    behind = porcelain.wait_in_force(fleet.platform, fleet.clock, applied.revision, WAIT_MS)
+    result = porcelain.drain(fleet.platform, fleet.clock, "demo", "llm-1", True)
+    behind = porcelain.wait_in_force(
+        fleet.platform, fleet.clock, result.revision, CHANGE_TIMEOUT_MS
+    )
     before = len(fleet.standins["llm-1"].ran)
-    for number in range(SHORT_ONES):
-        fleet.ask("guest-reply", TOKEN, {"guest": number, "tokens": 2}, number)
+    for number in range(SHORT_REQUESTS):
+        fleet.send("guest-reply", TOKEN, {"guest": number, "tokens": 2}, number)
     yield "a draining server gets no new work", (
         not behind and len(fleet.standins["llm-1"].ran) == before
     )
 
 
-def placed(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
+def model_placement(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Configure a new model with two replicas in each data centre and check that it is loaded."""
     model = Model("reply-9b", {"work": "generate"}, "1", (), "role = generate", 2)
     servers = [
@@ -144,15 +148,15 @@
         if one.labels.get("role") == "generate"
     ]
     porcelain.apply(fleet.platform, fleet.clock, "demo", [model, *servers])
-    until = fleet.clock.now() + PLACED_MS
-    while fleet.clock.now() < until and len(fleet.serving("reply-9b")) < 4:
+    until = fleet.clock.now() + PLACEMENT_TIMEOUT_MS
+    while fleet.clock.now() < until and len(fleet.engines_serving("reply-9b")) < 4:
         fleet.clock.sleep(50.0)
-    serving = fleet.serving("reply-9b")
+    serving = fleet.engines_serving("reply-9b")
     click.echo(f"the new model is served by {', '.join(serving)}")
     yield "a new model is loaded on two engines of each data centre", len(serving) == 4
 
 
-def accounts(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
+def costs(fleet: DemoFleet) -> Iterator[tuple[str, bool]]:
     """Show the cost of the work by stage."""
     for node in fleet.nodes:
         node.try_flush_cost()
--- a/packages/cli/src/mountladder_cli/demofleet.py
+++ b/packages/cli/src/mountladder_cli/demofleet.py
@@ -22,8 +22,8 @@
 from mountladder_entry.node import Node
 from mountladder_entry.platform import http_platform
 from mountladder_standins.listening import free_address, listen
-from mountladder_standins.platformface import platform_app
-from mountladder_standins.serverface import server_app
+from mountladder_standins.platformapp import platform_app
+from mountladder_standins.serverapp import server_app
 from mountladder_standins.speeds import Speeds
 from mountladder_standins.standinloader import StandinLoader
 from mountladder_standins.standinplatform import StandinPlatform
@@ -32,10 +32,10 @@
 
 LOOPBACK = "127.0.0.1:0"
 SECRET = "a secret for demonstrations only"
-PLACES = (("a", 1), ("a", 2), ("b", 1), ("b", 2))
-OLD_FACTOR = 3.0
+INSTANCES = (("a", 1), ("a", 2), ("b", 1), ("b", 2))
+OLD_ACCELERATOR_FACTOR = 3.0
 DOWNLOAD_MS = 200.0
-READY_MS = 5_000.0
+READY_TIMEOUT_MS = 5_000.0
 
 
 class DemoFleet:
@@ -44,7 +44,7 @@
     Args:
         clock: The clock.
         stack: Stops everything that was started when it closes.
-        places: The data centre and number of each instance; by default two instances in each of
+        instances: The data centre and number of each instance; by default two instances in each of
             two data centres.
     """
 
@@ -52,7 +52,7 @@
         self,
         clock: Clock,
         stack: ExitStack,
-        places: Sequence[tuple[str, int]] = PLACES,
+        instances: Sequence[tuple[str, int]] = INSTANCES,
     ) -> None:
         self.clock = clock
         self.stack = stack
@@ -62,7 +62,7 @@
         self.weights = WeightStore(clock, DOWNLOAD_MS)
         self.standins: dict[str, StandinServer] = {}
         self.nodes: list[Node] = []
-        for datacentre, number in places:
+        for datacentre, number in instances:
             self.start(f"{datacentre}-{number}", datacentre)
 
     def start(self, name: str, datacentre: str) -> Node:
@@ -100,26 +100,28 @@
         return node
 
     def wait_ready(self) -> bool:
-        """Wait until every instance is ready, at most READY_MS; return whether all are."""
-        until = self.clock.now() + READY_MS
+        """Wait until every instance is ready, at most READY_TIMEOUT_MS; return whether all are."""
+        until = self.clock.now() + READY_TIMEOUT_MS
         while self.clock.now() < until and not all(node.ready for node in self.nodes):
             self.clock.sleep(20.0)
         return all(node.ready for node in self.nodes)
 
-    def documents(self, documents: Sequence[Document]) -> tuple[Document, ...]:
+    def start_servers(self, documents: Sequence[Document]) -> tuple[Document, ...]:
         """Start a stand-in of each backend server; return the documents with their addresses."""
-        return tuple(self.served(one) if one.kind == "server" else one for one in documents)
+        return tuple(self.start_server(one) if one.kind == "server" else one for one in documents)
 
-    def served(self, server: Document) -> Document:
+    def start_server(self, server: Document) -> Document:
         """Start a stand-in of a backend server; return the server with the stand-in's address."""
-        speeds = Speeds(OLD_FACTOR if server.accelerator == "old" else 1.0, server.slots)
+        speeds = Speeds(
+            OLD_ACCELERATOR_FACTOR if server.accelerator == "old" else 1.0, server.slots
+        )
         standin = self.standins[server.name] = StandinServer(server.name, self.clock, speeds)
         if server.serves == "engine" and server.models:
             standin.loader = StandinLoader(self.weights, dict.fromkeys(server.models, "1"))
         address = listen(server_app(standin), LOOPBACK, self.stack)
         return dataclasses.replace(server, address=address)
 
-    def ask(
+    def send(
         self,
         pipeline: str,
         token: str,
@@ -133,7 +135,7 @@
         pieces = porcelain.request(web, pipeline, token, input_, deadline_ms, key, stream=False)
         return json.loads(b"".join(pieces))
 
-    def serving(self, model: str) -> list[str]:
+    def engines_serving(self, model: str) -> list[str]:
         """Return the stand-in engines that have a model loaded, by name."""
         return sorted(
             name
@@ -141,7 +143,7 @@
             if one.loader is not None and model in one.loader.models
         )
 
-    def runs(self, work: str) -> int:
+    def count_runs(self, work: str) -> int:
         """Return how many calls of a kind of work all stand-ins began."""
         ran = itertools.chain.from_iterable(one.ran for one in self.standins.values())
         return sum(one.work == work for one in ran)
--- a/packages/cli/src/mountladder_cli/calls.py
+++ b/packages/cli/src/mountladder_cli/instanceclient.py
@@ -1,4 +1,4 @@
-# calls.py -- HTTP client for the entry instances
+# instanceclient.py -- HTTP client for the entry instances
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 """HTTP client for the entry instances."""
--- a/packages/cli/src/mountladder_cli/standing.py
+++ b/packages/cli/src/mountladder_cli/instancestatus.py
@@ -1,4 +1,4 @@
-# standing.py -- The status of an instance
+# instancestatus.py -- The status of an instance
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -12,18 +12,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class InstanceStatus:
     """The status of an instance, or why it could not be fetched.
 
     Attributes:
         instance: The instance as the platform lists it.
         table: Its status page, empty if it did not answer.
-        trouble: Why it did not answer, or an empty string.
+        error: Why it did not answer, or an empty string.
     """
 
     instance: Instance
     table: dict[str, object]
-    trouble: str
+    error: str
 
     @property
     def revision(self) -> int:
--- a/packages/cli/src/mountladder_cli/main.py
+++ b/packages/cli/src/mountladder_cli/main.py
@@ -12,7 +12,7 @@
 
 import click
 
-from mountladder_cli import configuring, observing, standing_in, trying
+from mountladder_cli import configurationcommands, requestcommands, standincommands, statuscommands
 from mountladder_cli.session import Session
 
 DEFAULT_PLATFORM = "http://127.0.0.1:8000"
@@ -31,6 +31,6 @@
     context.obj = Session(platform, author, operator_token, output)
 
 
-for _module in (configuring, observing, trying, standing_in):
+for _module in (configurationcommands, statuscommands, requestcommands, standincommands):
     for _command in _module.COMMANDS:
         main.add_command(_command)
--- a/packages/cli/src/mountladder_cli/lossaccount.py
+++ b/packages/cli/src/mountladder_cli/outcomereport.py
@@ -1,4 +1,4 @@
-# lossaccount.py -- Report of request outcomes and of where late requests spent their time
+# outcomereport.py -- Report of request outcomes and of where late requests spent their time
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -9,7 +9,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from mountladder_cli.loglines import message_of
+from mountladder_cli.loglines import parse_message
 from mountladder_cli.requesttrace import OUTCOMES, RequestTrace
 
 SPAN_SECONDS = 2.0
@@ -18,7 +18,7 @@
 SIZES = (("largest tenth", 0.1), ("fifth below", 0.2), ("the others", 0.7))
 
 
-def account_of(lines: Iterable[str]) -> list[RequestTrace]:
+def read_traces(lines: Iterable[str]) -> list[RequestTrace]:
     """Return a trace of each request that the log lines of instances name, oldest first.
 
     Requests whose "received" line is missing are left out.
@@ -28,16 +28,16 @@
     """
     messages: dict[str, list[dict[str, object]]] = defaultdict(list)
     for line in lines:
-        message = message_of(line)
-        named = message.get("requests") or [message.get("request")]
-        for request in named:
+        message = parse_message(line)
+        ids = message.get("requests") or [message.get("request")]
+        for request in ids:
             if isinstance(request, str):
                 messages[request].append(message)
     traces = (RequestTrace.of(request, found) for request, found in messages.items())
     return sorted((one for one in traces if one is not None), key=lambda one: one.at)
 
 
-def shown_account(traces: list[RequestTrace]) -> str:
+def format_report(traces: list[RequestTrace]) -> str:
     """Return three tables as text: outcomes by time, outcomes by size, and where time was spent.
 
     The first counts the outcomes of each route in spans of SPAN_SECONDS.
@@ -71,10 +71,10 @@
             routes[trace.route].append(trace)
     for route, found in sorted(routes.items()):
         found.sort(key=lambda one: -one.size)
-        first, part = 0, 0.0
+        first, fraction = 0, 0.0
         for name, share in SIZES:
-            part += share
-            last = round(part * len(found))
+            fraction += share
+            last = round(fraction * len(found))
             rows += [_size_row(route, name, found[first:last])] if last > first else []
             first = last
     return rows
@@ -82,8 +82,8 @@
 
 def _size_row(route: str, name: str, traces: list[RequestTrace]) -> str:
     counts = Counter(one.outcome for one in traces)
-    door = sum(one.station.startswith("admission") for one in traces)
-    return f"{route:20} {name:13} {traces[-1].size:7} {_cells(counts)} {door or '':>9}"
+    at_admission = sum(one.station.startswith("admission") for one in traces)
+    return f"{route:20} {name:13} {traces[-1].size:7} {_cells(counts)} {at_admission or '':>9}"
 
 
 def _cells(counts: Counter[str]) -> str:
--- a/packages/cli/src/mountladder_cli/porcelain.py
+++ b/packages/cli/src/mountladder_cli/porcelain.py
@@ -23,17 +23,17 @@
 from mountladder.errors import DocumentError, MountladderError, RevisionConflictError
 from mountladder.membership.instance import Instance
 from mountladder.store.platform import Platform
-from mountladder_cli.applied import Applied
-from mountladder_cli.calls import fetch, issue_keys, request
+from mountladder_cli.changeresult import ChangeResult
 from mountladder_cli.edit import Edit
-from mountladder_cli.standing import Standing
+from mountladder_cli.instanceclient import fetch, issue_keys, request
+from mountladder_cli.instancestatus import InstanceStatus
 
 __all__ = [
-    "amend", "apply", "change", "cost", "delete", "differing", "drain", "explain", "fetch",
-    "find", "history", "issue_keys", "label", "lift", "load", "quarantined", "request",
-    "standing", "status", "wait_in_force",
+    "apply", "change", "changed_documents", "cost", "delete", "drain", "explain", "fetch",
+    "find", "history", "instance_status", "issue_keys", "label", "lift", "load", "quarantined",
+    "request", "retry_change", "status", "wait_in_force",
 ]  # fmt: skip
-TRIES = 5
+MAX_ATTEMPTS = 5
 POLL_MS = 100.0
 HISTORY_PAGE = 100
 
@@ -49,7 +49,7 @@
 
 def change(
     platform: Platform, clock: Clock, author: str, base: Configuration, edit: Edit
-) -> Applied:
+) -> ChangeResult:
     """Make one change against a configuration, atomically.
 
     Raises:
@@ -59,14 +59,14 @@
         StoreAmbiguousError: It could not be determined whether the change was accepted.
     """
     if not edit.puts and not edit.deletes:
-        return Applied(base.revision, (), ())
+        return ChangeResult(base.revision, (), ())
     operation = uuid.uuid4().hex
-    tried = Change(base.revision + 1, operation, author, 0.0, edit.puts, edit.deletes)
-    warnings = check(base.after(tried))
+    candidate = Change(base.revision + 1, operation, author, 0.0, edit.puts, edit.deletes)
+    warnings = check(base.after(candidate))
     log = ChangeLog(platform.table, platform.objects, clock)
-    made = log.append(base, operation, author, edit.puts, edit.deletes)
+    accepted = log.append(base, operation, author, edit.puts, edit.deletes)
     keys = tuple(document.key for document in edit.puts) + edit.deletes
-    return Applied(made.revision, keys, tuple(warnings))
+    return ChangeResult(accepted.revision, keys, tuple(warnings))
 
 
 def apply(
@@ -75,7 +75,7 @@
     author: str,
     documents: Sequence[Document],
     revision: int | None = None,
-) -> Applied:
+) -> ChangeResult:
     """Add or replace documents; unchanged ones are left out.
 
     Args:
@@ -91,24 +91,24 @@
     base = load(platform, clock)
     if revision is not None and revision != base.revision:
         raise RevisionConflictError(revision, base.revision)
-    return change(platform, clock, author, base, Edit(differing(base, documents), ()))
+    return change(platform, clock, author, base, Edit(changed_documents(base, documents), ()))
 
 
-def differing(base: Configuration, documents: Sequence[Document]) -> tuple[Document, ...]:
+def changed_documents(base: Configuration, documents: Sequence[Document]) -> tuple[Document, ...]:
     """Return the documents that differ from those of a configuration."""
     return tuple(one for one in documents if base.documents.get(one.key) != one)
 
 
-def amend(
+def retry_change(
     platform: Platform, clock: Clock, author: str, edit: Callable[[Configuration], Edit]
-) -> Applied:
-    """Make a change; compute it again, up to TRIES times, if another was accepted first."""
-    for attempt in range(TRIES):
+) -> ChangeResult:
+    """Make a change; compute it again, up to MAX_ATTEMPTS times, if another was accepted first."""
+    for attempt in range(MAX_ATTEMPTS):
         base = load(platform, clock)
         try:
             return change(platform, clock, author, base, edit(base))
         except RevisionConflictError:
-            if attempt + 1 == TRIES:
+            if attempt + 1 == MAX_ATTEMPTS:
                 raise
     raise AssertionError("unreachable")
 
@@ -125,14 +125,14 @@
     return document
 
 
-def delete(platform: Platform, clock: Clock, author: str, kind: str, name: str) -> Applied:
+def delete(platform: Platform, clock: Clock, author: str, kind: str, name: str) -> ChangeResult:
     """Remove a document."""
 
     def edit(base: Configuration) -> Edit:
         """Return the edit for a configuration."""
         return Edit((), (find(base, kind, name).key,))
 
-    return amend(platform, clock, author, edit)
+    return retry_change(platform, clock, author, edit)
 
 
 def label(
@@ -142,7 +142,7 @@
     kind: str,
     name: str,
     labels: dict[str, str | None],
-) -> Applied:
+) -> ChangeResult:
     """Set labels of a document; a label whose value is None is removed."""
 
     def edit(base: Configuration) -> Edit:
@@ -150,20 +150,20 @@
         document = find(base, kind, name)
         merged = {**document.labels, **labels}
         kept = {key: value for key, value in merged.items() if value is not None}
-        return Edit(differing(base, [dataclasses.replace(document, labels=kept)]), ())
+        return Edit(changed_documents(base, [dataclasses.replace(document, labels=kept)]), ())
 
-    return amend(platform, clock, author, edit)
+    return retry_change(platform, clock, author, edit)
 
 
-def drain(platform: Platform, clock: Clock, author: str, name: str, draining: bool) -> Applied:
+def drain(platform: Platform, clock: Clock, author: str, name: str, draining: bool) -> ChangeResult:
     """Stop or resume sending new work to a backend server."""
 
     def edit(base: Configuration) -> Edit:
         """Return the edit for a configuration."""
         server = dataclasses.replace(find(base, "server", name), draining=draining)
-        return Edit(differing(base, [server]), ())
+        return Edit(changed_documents(base, [server]), ())
 
-    return amend(platform, clock, author, edit)
+    return retry_change(platform, clock, author, edit)
 
 
 def history(platform: Platform, clock: Clock, after: int = 0) -> Iterator[Change]:
@@ -179,23 +179,23 @@
     return read_totals(platform.table)
 
 
-def standing(instance: Instance, token: str) -> Standing:
+def instance_status(instance: Instance, token: str) -> InstanceStatus:
     """Fetch the status of an instance; if it does not answer, the result holds the reason."""
     try:
         table = fetch(instance.web, "/ops/status", token)
-        return Standing(instance, table, "")
+        return InstanceStatus(instance, table, "")
     except MountladderError as error:
-        return Standing(instance, {}, str(error))
+        return InstanceStatus(instance, {}, str(error))
 
 
-def status(platform: Platform, token: str = "") -> list[Standing]:
+def status(platform: Platform, token: str = "") -> list[InstanceStatus]:
     """Fetch the status of every listed instance."""
-    return [standing(one, token) for one in platform.instances.instances()]
+    return [instance_status(one, token) for one in platform.instances.instances()]
 
 
 def wait_in_force(
     platform: Platform, clock: Clock, revision: int, limit_ms: float, token: str = ""
-) -> list[Standing]:
+) -> list[InstanceStatus]:
     """Wait until every listed instance that is not leaving uses a revision or a newer one.
 
     Returns:
--- a/packages/cli/src/mountladder_cli/trying.py
+++ b/packages/cli/src/mountladder_cli/requestcommands.py
@@ -1,4 +1,4 @@
-# trying.py -- Commands that send requests and run the demonstration
+# requestcommands.py -- Commands that send requests and run the demonstration
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -37,7 +37,7 @@
     issue_key: bool,
 ) -> None:
     """Send a request and print its answer; an INPUT_TEXT that is not JSON is sent as a string."""
-    whole = b""
+    tail = b""
     try:
         input_ = json.loads(input_text)
     except ValueError:
@@ -48,11 +48,11 @@
         stream = session.output == "text"
         for piece in porcelain.request(web, pipeline, token, input_, deadline_ms, key, stream):
             click.echo(piece, nl=False)
-            whole = (whole + piece)[-65_536:]
+            tail = (tail + piece)[-65_536:]
     except MountladderError as error:
         click.echo(f"error {error}", err=True)
         sys.exit(EXIT_FAILED)
-    if b"event: done" not in whole and b'"class":"done"' not in whole:
+    if b"event: done" not in tail and b'"class":"done"' not in tail:
         sys.exit(EXIT_FAILED)
 
 
--- a/packages/cli/src/mountladder_cli/requesttrace.py
+++ b/packages/cli/src/mountladder_cli/requesttrace.py
@@ -52,19 +52,21 @@
             The trace, or None if no message says that the request was received.
         """
         ordered = sorted(messages, key=_at)
-        stations = _Stations({str(one.get("message_type")): one for one in reversed(ordered)})
-        received = stations.first.get("received")
+        first_messages = _FirstMessages(
+            {str(one.get("message_type")): one for one in reversed(ordered)}
+        )
+        received = first_messages.first.get("received")
         if received is None:
             return None
-        outcome = stations.outcome()
-        station = "" if outcome == "on time" else stations.longest(ordered)
+        outcome = first_messages.outcome()
+        station = "" if outcome == "on time" else first_messages.slowest_part(ordered)
         size = int(received.get("tokens") or 0)
         size += OUTPUT_WEIGHT * int(received.get("most_output") or 0)
         return cls(request, str(received.get("route", "")), _at(received), outcome, station, size)
 
 
 @dataclass(frozen=True, slots=True)
-class _Stations:
+class _FirstMessages:
     """The first message of each type that names a request."""
 
     first: dict[str, Message]
@@ -81,30 +83,30 @@
             return "again" if self.first["received"].get("comes_back") else "refused"
         if code:
             return "failed"
-        aim_ms = float(self.first["received"].get("aim_ms") or float("inf"))
+        target_ms = float(self.first["received"].get("aim_ms") or float("inf"))
         timed = self.first.get("first-event", ended)
-        return "on time" if float(timed.get("elapsed_ms") or 0.0) <= aim_ms else "late"
+        return "on time" if float(timed.get("elapsed_ms") or 0.0) <= target_ms else "late"
 
-    def longest(self, ordered: list[Message]) -> str:
+    def slowest_part(self, ordered: list[Message]) -> str:
         """Return where most of the time was spent: at a stage, a server or admission."""
         if "sent" not in self.first and "stages-done" not in self.first:
-            return self.before_sending(ordered)
+            return self.slowest_before_sending(ordered)
         start = _at(self.first["received"])
         done = _at(self.first.get("stages-done", self.first["received"]))
         sent = _at(self.first.get("sent", self.first.get("stages-done", ordered[-1])))
         stages_s, server_s = done - start, _at(self.first.get("first-event", ordered[-1])) - sent
         if stages_s >= server_s:
-            return self.stage(ordered)
+            return self.slowest_stage(ordered)
         return f"server {self.first.get('sent', {}).get('server', '')}"
 
-    def before_sending(self, ordered: list[Message]) -> str:
+    def slowest_before_sending(self, ordered: list[Message]) -> str:
         """Return where a request that was sent to no server spent its time."""
         if "let-in" not in self.first:
             return f"admission: code {self.first.get('ended', {}).get('code', 0)}"
-        return self.stage(ordered)
+        return self.slowest_stage(ordered)
 
     @staticmethod
-    def stage(ordered: list[Message]) -> str:
+    def slowest_stage(ordered: list[Message]) -> str:
         """Return the stage service that the request waited for longest in all its calls."""
         start = _at(ordered[0])
         waits: dict[str, float] = {}
--- a/packages/cli/src/mountladder_cli/session.py
+++ b/packages/cli/src/mountladder_cli/session.py
@@ -28,14 +28,14 @@
     """The global options, and printing of results and errors.
 
     Attributes:
-        base: The platform's base URL.
+        platform_url: The platform's base URL.
         author: The name recorded with changes.
         operator_token: The token that instances require of operators.
         output: "text" or "json".
         clock: The clock.
     """
 
-    base: str
+    platform_url: str
     author: str
     operator_token: str
     output: str
@@ -45,7 +45,7 @@
     def platform(self) -> Iterator[Platform]:
         """Open the platform; print the errors that the block raises and exit."""
         with ExitStack() as stack, self.errors():
-            yield http_platform(self.base, self.clock, stack)
+            yield http_platform(self.platform_url, self.clock, stack)
 
     @contextmanager
     def errors(self) -> Iterator[None]:
--- a/packages/cli/src/mountladder_cli/observing.py
+++ b/packages/cli/src/mountladder_cli/statuscommands.py
@@ -1,4 +1,4 @@
-# observing.py -- Commands that show the state and history of the system
+# statuscommands.py -- Commands that show the state and history of the system
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -12,8 +12,8 @@
 import click
 
 from mountladder_cli import porcelain
-from mountladder_cli.loglines import lines_of, shown
-from mountladder_cli.lossaccount import account_of, shown_account
+from mountladder_cli.loglines import format_lines, lines_of_request
+from mountladder_cli.outcomereport import format_report, read_traces
 from mountladder_cli.session import Session
 
 
@@ -42,12 +42,12 @@
 def status(session: Session) -> None:
     """Show each instance with its revision of the configuration and its running requests."""
     with session.platform() as platform:
-        standings = porcelain.status(platform, session.operator_token)
-        rows = [{**asdict(one.instance), **one.table, "trouble": one.trouble} for one in standings]
+        statuses = porcelain.status(platform, session.operator_token)
+        rows = [{**asdict(one.instance), **one.table, "trouble": one.error} for one in statuses]
         lines = [
             f"{one.instance.name}  {one.instance.datacentre}  "
-            + (one.trouble or f"revision {one.revision}  running {one.table['running']}")
-            for one in standings
+            + (one.error or f"revision {one.revision}  running {one.table['running']}")
+            for one in statuses
         ]
         session.show(rows, lambda: "\n".join(lines))
 
@@ -61,9 +61,10 @@
         table = porcelain.explain(platform, request, session.operator_token)
         lines = [f"request {table['request']} under revision {table['revision']}"]
         for entry in table["entries"]:
-            words = (str(entry[key]) for key in ("event", "stage", "server", "code", "reason"))
+            values = (str(entry[key]) for key in ("event", "stage", "server", "code", "reason"))
             lines.append(
-                f"  {entry['at_ms']:>8} ms  " + "  ".join(w for w in words if w not in "0")
+                f"  {entry['at_ms']:>8} ms  "
+                + "  ".join(value for value in values if value not in "0")
             )
         session.show(table, lambda: "\n".join(lines))
 
@@ -90,10 +91,10 @@
 @click.pass_obj
 def lines(session: Session, request: str, files: tuple[TextIO, ...]) -> None:
     """Show the log lines of a request, from the logs of any number of instances."""
-    found = lines_of(request, (line for file in files for line in file))
+    found = lines_of_request(request, (line for file in files for line in file))
     if not found:
         raise click.ClickException(f"no log line names request {request}")
-    session.show(found, lambda: shown(found))
+    session.show(found, lambda: format_lines(found))
 
 
 @click.command("account")
@@ -101,8 +102,8 @@
 @click.pass_obj
 def account(session: Session, files: tuple[TextIO, ...]) -> None:
     """Show the outcomes of the requests in logs, and where those not on time spent their time."""
-    traces = account_of(line for file in files for line in file)
-    session.show([asdict(one) for one in traces], lambda: shown_account(traces))
+    traces = read_traces(line for file in files for line in file)
+    session.show([asdict(one) for one in traces], lambda: format_report(traces))
 
 
 @click.command("quarantine")
--- a/packages/standins/src/mountladder_standins/faultplan.py
+++ b/packages/standins/src/mountladder_standins/faultplan.py
@@ -41,37 +41,37 @@
         rng: The random number generator.
 
     Attributes:
-        kinds: The names of the actions so far, in order.
+        actions: The names of the actions so far, in order.
     """
 
     def __init__(self, fleet: LocalFleet, rng: random.Random) -> None:
         self.fleet = fleet
         self.rng = rng
-        self.kinds: list[str] = []
+        self.actions: list[str] = []
         self.started = 0
 
     def step(self) -> None:
         """Inject a random fault, or repair some."""
-        act = self.rng.choice(
+        action = self.rng.choice(
             (
                 self.break_server,
-                self.mend_servers,
+                self.repair_servers,
                 self.break_store,
-                self.mend_store,
-                self.cut_link,
-                self.cut_datacentres,
+                self.repair_store,
+                self.break_link,
+                self.partition_datacentres,
                 self.replace_instance,
             )
         )
-        self.kinds.append(act.__name__)
-        act()
+        self.actions.append(action.__name__)
+        action()
 
     def break_server(self) -> None:
         """Inject a fault into a backend server."""
         name = self.rng.choice(sorted(self.fleet.servers))
         self.fleet.servers[name].faults = self.rng.choice(SERVER_FAULTS)
 
-    def mend_servers(self) -> None:
+    def repair_servers(self) -> None:
         """Remove the faults of every backend server."""
         for server in self.fleet.servers.values():
             server.faults = Faults()
@@ -80,18 +80,18 @@
         """Inject a fault into the platform, for all instances."""
         self.fleet.standin.set_faults(self.rng.choice(STORE_FAULTS))
 
-    def mend_store(self) -> None:
+    def repair_store(self) -> None:
         """Remove the faults of the platform and of every instance's connection to it."""
         self.fleet.standin.set_faults(Faults())
         for name in self.fleet.runtimes:
-            self.fleet.cut_platform(name, Faults())
+            self.fleet.set_platform_faults(name, Faults())
 
-    def cut_link(self) -> None:
+    def break_link(self) -> None:
         """Inject a fault into one instance's connection to the platform."""
         name = self.rng.choice(sorted(self.fleet.runtimes))
-        self.fleet.cut_platform(name, self.rng.choice(STORE_FAULTS))
+        self.fleet.set_platform_faults(name, self.rng.choice(STORE_FAULTS))
 
-    def cut_datacentres(self) -> None:
+    def partition_datacentres(self) -> None:
         """Partition the data centres from each other, or remove the partition."""
         self.fleet.network.cut ^= {frozenset(DATACENTRES)}
 
@@ -101,8 +101,8 @@
         self.fleet.kill(name)
         self.fleet.start(name, name[0])
 
-    def mend_all(self) -> None:
+    def repair_all(self) -> None:
         """Remove all faults."""
-        self.mend_servers()
-        self.mend_store()
+        self.repair_servers()
+        self.repair_store()
         self.fleet.network.cut.clear()
--- a/packages/standins/src/mountladder_standins/faults.py
+++ b/packages/standins/src/mountladder_standins/faults.py
@@ -70,6 +70,6 @@
             raise faults[0]
         return cls(**values)
 
-    def without_one(self, name: str) -> Faults:
+    def decremented(self, name: str) -> Faults:
         """Return the faults with a counted one, such as "fail", lowered by one."""
         return dataclasses.replace(self, **{name: getattr(self, name) - 1})
--- a/packages/standins/src/mountladder_standins/faultyobjectstore.py
+++ b/packages/standins/src/mountladder_standins/faultyobjectstore.py
@@ -22,15 +22,15 @@
 
     def get(self, name: str) -> bytes | None:
         """Return an object; see ObjectStore."""
-        self.delay()
+        self.apply_faults()
         return self.inner.get(name)
 
     def put(self, name: str, value: bytes) -> None:
         """Write an object; see ObjectStore."""
-        self.delay()
+        self.apply_faults()
         self.inner.put(name, value)
 
-    def delay(self) -> None:
+    def apply_faults(self) -> None:
         """Delay the call if the store is slow; raise an error if it is down."""
         if self.faults.slow_ms:
             self.clock.sleep(self.faults.slow_ms)
--- a/packages/standins/src/mountladder_standins/localanswer.py
+++ b/packages/standins/src/mountladder_standins/localanswer.py
@@ -24,7 +24,7 @@
         parts: The parts of the body.
         pause_ms: The pause before each part, in milliseconds.
         cut: Whether the connection breaks after the last part.
-        is_ended: Returns whether the server has crashed, which breaks all its connections.
+        has_crashed: Returns whether the server has crashed, which breaks all its connections.
 
     Attributes:
         closed: Whether it was closed.
@@ -38,7 +38,7 @@
         parts: list[bytes],
         pause_ms: float = 0.0,
         cut: bool = False,
-        is_ended: Callable[[], bool] = lambda: False,
+        has_crashed: Callable[[], bool] = lambda: False,
     ) -> None:
         self.clock = clock
         self.status = status
@@ -48,7 +48,7 @@
         self.parts = parts
         self.pause_ms = pause_ms
         self.cut = cut
-        self.is_ended = is_ended
+        self.has_crashed = has_crashed
         self.closed = False
 
     def read(self, limit_ms: float) -> bytes:
@@ -62,7 +62,7 @@
         """Return the next part; see UpstreamAnswer."""
         if self.parts:
             self.clock.sleep(self.pause_ms)
-            if self.is_ended():
+            if self.has_crashed():
                 raise StageError("the server has crashed", Code.STREAM_CUT)
             return self.parts.pop(0)
         if self.cut:
--- a/packages/standins/src/mountladder_standins/localengines.py
+++ b/packages/standins/src/mountladder_standins/localengines.py
@@ -33,13 +33,13 @@
 
     def state(self, server: BackendServer) -> EngineState:
         """Return which models an engine serves and loads; see Engines."""
-        return self.reach(server).state()
+        return self.find_loader(server).state()
 
     def order(self, server: BackendServer, order: Order) -> None:
         """Send an order to an engine; see Engines."""
-        self.reach(server).order(order)
+        self.find_loader(server).order(order)
 
-    def reach(self, server: BackendServer) -> StandinLoader:
+    def find_loader(self, server: BackendServer) -> StandinLoader:
         """Return the model loader of an engine.
 
         Raises:
--- a/packages/standins/src/mountladder_standins/sentrequest.py
+++ b/packages/standins/src/mountladder_standins/sentrequest.py
@@ -17,13 +17,13 @@
     """One request of an experiment and its outcome.
 
     Attributes:
-        kind: Its traffic class.
+        traffic_class: Its traffic class.
         at_ms: When it was sent, in milliseconds after the start of the measured load.
         work_ms: How long it takes alone on a new generator, in milliseconds.
         outcome: What the caller got.
     """
 
-    kind: TrafficClass
+    traffic_class: TrafficClass
     at_ms: float
     work_ms: float
     outcome: Outcome
--- a/packages/standins/src/mountladder_standins/serverface.py
+++ b/packages/standins/src/mountladder_standins/serverapp.py
@@ -1,4 +1,4 @@
-# serverface.py -- HTTP interface of a stand-in backend server
+# serverapp.py -- HTTP interface of a stand-in backend server
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -55,7 +55,7 @@
         bottle.response.status = 500
         return str(error)
     if standin.faults.lose_answers:
-        standin.faults = standin.faults.without_one("lose_answers")
+        standin.faults = standin.faults.decremented("lose_answers")
         raise ConnectionResetError("the answer was lost")
     return result
 
@@ -71,10 +71,10 @@
     first = list(itertools.islice(events, 1))
     bottle.response.content_type = "text/event-stream"
     bottle.response.set_header("X-Load", str(standin.reported_load()))
-    return _guarded(first, events)
+    return _events_or_error(first, events)
 
 
-def _guarded(first: list[bytes], events: Iterator[bytes]) -> Iterator[bytes]:
+def _events_or_error(first: list[bytes], events: Iterator[bytes]) -> Iterator[bytes]:
     try:
         yield from first
         yield from events
--- a/packages/standins/src/mountladder_standins/servererror.py
+++ b/packages/standins/src/mountladder_standins/servererror.py
@@ -11,7 +11,7 @@
     """The server refused a call without running it; the text says why."""
 
 
-class ServerEndedError(Exception):
+class ServerCrashedError(Exception):
     """The server crashed, with all the calls that it ran."""
 
 
--- a/packages/standins/src/mountladder_standins/violation.py
+++ b/packages/standins/src/mountladder_standins/violation.py
@@ -14,9 +14,9 @@
     """An invariant that a fault run found violated.
 
     Attributes:
-        promise: The name of the invariant.
+        invariant: The name of the invariant.
         detail: What violated it.
     """
 
-    promise: str
+    invariant: str
     detail: str
--- a/packages/standins/src/mountladder_standins/weightstore.py
+++ b/packages/standins/src/mountladder_standins/weightstore.py
@@ -22,23 +22,23 @@
         download_ms: How long the download of one model takes.
 
     Attributes:
-        asked: How many downloads run or wait.
-        most: The highest number of downloads that ran or waited at once.
+        pending: How many downloads run or wait.
+        max_pending: The highest number of downloads that ran or waited at once.
     """
 
     def __init__(self, clock: Clock, download_ms: float = DOWNLOAD_MS) -> None:
         self.clock = clock
         self.download_ms = download_ms
-        self.room = BoundedSemaphore(DOWNLOADS)
-        self.asked = 0
-        self.most = 0
+        self.slots = BoundedSemaphore(DOWNLOADS)
+        self.pending = 0
+        self.max_pending = 0
 
     def download(self) -> None:
         """Wait for a free download slot and download one model."""
-        self.asked += 1
-        self.most = max(self.most, self.asked)
+        self.pending += 1
+        self.max_pending = max(self.max_pending, self.pending)
         try:
-            with self.room:
+            with self.slots:
                 self.clock.sleep(self.download_ms)
         finally:
-            self.asked -= 1
+            self.pending -= 1
--- a/packages/standins/src/mountladder_standins/workloads.py
+++ b/packages/standins/src/mountladder_standins/workloads.py
@@ -33,13 +33,13 @@
 
 ALL = (
     _variant(_HARROWGATE, "steady"),
-    _variant(_HARROWGATE, "burst 1.5", burst=1.5),
-    _variant(_HARROWGATE, "burst 3", burst=3.0),
-    _variant(_HARROWGATE, "one slowed", slowed=1),
-    _variant(_HARROWGATE, "servers lost", lost=3),
-    _variant(_HARROWGATE, "flooding team", flooding="owners"),
+    _variant(_HARROWGATE, "burst 1.5", burst_load=1.5),
+    _variant(_HARROWGATE, "burst 3", burst_load=3.0),
+    _variant(_HARROWGATE, "one slowed", slowed_generators=1),
+    _variant(_HARROWGATE, "servers lost", lost_generators=3),
+    _variant(_HARROWGATE, "flooding team", flooding_team="owners"),
     _variant(_BRINDLECOTE, "steady"),
-    _variant(_BRINDLECOTE, "burst 1.5", burst=1.5),
-    _variant(_BRINDLECOTE, "burst 3", burst=3.0),
-    _variant(_BRINDLECOTE, "flooding team", flooding="tutors"),
+    _variant(_BRINDLECOTE, "burst 1.5", burst_load=1.5),
+    _variant(_BRINDLECOTE, "burst 3", burst_load=3.0),
+    _variant(_BRINDLECOTE, "flooding team", flooding_team="tutors"),
 )
