--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Makefile -- Setting up, testing and trying mountladder
+# Makefile -- Set up, test, measure and format mountladder
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
@@ -25,17 +25,20 @@
 bench: setup
 	$(BIN)/python bench/run.py
 
-# Real processes under faults drawn from seeds: SEED, SEEDS, MINUTES, INSTANCES, KNOWN=1.
+# Fault soak: runs real processes and injects faults that are drawn from seeds. Options: SEED,
+# SEEDS, MINUTES, INSTANCES, KNOWN=1 (the seeds that have found a violation before).
 soak: setup
 	PYTHONPATH=platform/tests $(BIN)/python -m soak.run $(if $(SEED),--seed $(SEED)) \
 		$(if $(SEEDS),--seeds $(SEEDS)) $(if $(MINUTES),--minutes $(MINUTES)) \
 		$(if $(INSTANCES),--instances $(INSTANCES)) $(if $(KNOWN),--known)
 
-# One day of the users' bench: FLEETBENCH and SITE are paths, WHY is a line for the journal.
+# Runs one day of the external benchmark fleetbench. FLEETBENCH and SITE are paths, DAY is a name,
+# WHY is a line for the journal.
 days:
 	$(FLEETBENCH) run $(SITE) $(DAY) --why "$(WHY)"
 
-# The days that must hold: FLEETBENCH and SITES are paths, ONLY is a part of a site's path.
+# Runs the days of bench/regression.toml and compares their scores with the recorded bounds.
+# FLEETBENCH and SITES are paths; ONLY selects the sites whose path contains it.
 regression: setup
 	$(BIN)/python bench/regression.py --fleetbench $(FLEETBENCH) --sites $(SITES) \
 		$(if $(ONLY),--only $(ONLY))
--- a/features/atmostonce.feature
+++ b/features/atmostonce.feature
@@ -1,28 +1,33 @@
 @virtual
 Feature: Non-idempotent requests run at most once
+  A repeated request would run its non-idempotent stage twice when two instances accept the same
+  idempotency key, when the answer of the store or of a backend server is lost, or when the record
+  of the key is gone because its instance crashed or evicted it. The result is then "unknown";
+  "not_run" is answered only if nothing ran.
+
   Background:
     Given a fleet of instances a-1, a-2, b-1
 
-  Scenario: Without a key it is refused
+  Scenario: A non-idempotent request without a key is refused
     When "a-1" is sent "push" as "one"
     Then "one" ends as not_run 1004
     And "push" ran 0 times
 
-  Scenario: The same key at two data centres at once
+  Scenario: The same key is sent to two data centres at once
     When "a-1" is sent "push" as "one" with {"key": "k"}
     And "b-1" is sent "push" as "two" with {"key": "k"}
     Then "one" ends as done
     And "two" ends as unknown 1009
     And "push" ran 1 times
 
-  Scenario: The same key at one instance at once
+  Scenario: The same key is sent to one instance twice at once
     When "a-1" is sent "push" as "one" with {"key": "k"}
     And "a-1" is sent "push" as "two" with {"key": "k"}
     Then "one" ends as done
     And "one" and "two" have the same answer
     And "push" ran 1 times
 
-  Scenario: A repeat of a finished request gets the same answer anywhere
+  Scenario: A repeat of a finished request gets the same answer from any instance
     When "a-1" is sent "push" as "one" with {"key": "k"}
     And 500 ms pass
     And "b-1" is sent "push" as "two" with {"key": "k"}
@@ -30,20 +35,20 @@
     And "one" and "two" have the same answer
     And "push" ran 1 times
 
-  Scenario: A key used with another body is refused
+  Scenario: A key that is reused with another body is refused
     When "a-1" is sent "push" as "one" with {"key": "k"}
     And 500 ms pass
     And "b-1" is sent "push" as "two" with {"key": "k", "input": {"room": 2}}
     Then "two" ends as not_run 1005
     And "push" ran 1 times
 
-  Scenario: The answer to the claim is lost
+  Scenario: The store's answer to a claim is lost
     Given the platform all has faults {"lose_answers": 1}
     When "a-1" is sent "push" as "one" with {"key": "k"}
     Then "one" ends as done
     And "push" ran 1 times
 
-  Scenario: The store is down, so a key of the caller's own is refused and nothing runs
+  Scenario: A key chosen by the caller is refused without running while the store is down
     Given the platform all has faults {"down": true}
     When "a-1" is sent "push" as "one" with {"key": "k", "first": true}
     Then "one" ends as not_run 2006
@@ -54,7 +59,7 @@
     Then "two" ends as done
     And "push" ran 1 times
 
-  Scenario: The store is down and an issued key is served all the same
+  Scenario: A request with an issued key is served while the store is down
     Given the platform all has faults {"down": true}
     When "a-1" issues a key and is sent "push" with it as "one"
     And "b-1" is sent the issued key for "push" as "two"
@@ -63,7 +68,7 @@
     And "one" and "two" have the same answer
     And "push" ran 1 times
 
-  Scenario: One data centre is cut off from the platform and claims through another
+  Scenario: An instance without a link to the platform claims through another data centre
     Given the link a-1 has faults {"down": true}
     When "a-1" is sent "push" as "one" with {"key": "k"}
     And 2000 ms pass
@@ -72,7 +77,7 @@
     And "one" and "two" have the same answer
     And "push" ran 1 times
 
-  Scenario: A repeat is not told that nothing ran while nobody can look
+  Scenario: A repeat gets unknown instead of not_run while the claim cannot be read
     When "a-1" is sent "push" as "one" with {"key": "k"}
     Then "one" ends as done
     When the platform all has faults {"down": true}
@@ -80,7 +85,7 @@
     Then "two" ends as unknown 2006
     And "push" ran 1 times
 
-  Scenario: The instance dies while the request runs
+  Scenario: The instance crashes while the request runs
     Given the server desk-1 has faults {"stall": true}
     And the server desk-2 has faults {"stall": true}
     When "a-1" is sent "push" as "one" with {"key": "k"}
@@ -93,7 +98,7 @@
     Then "three" ends as unknown 1010
     And "push" ran 1 times
 
-  Scenario: The home of an issued key dies
+  Scenario: The instance that issued the key crashes
     Given the server desk-1 has faults {"stall": true}
     And the server desk-2 has faults {"stall": true}
     When "a-1" issues a key and is sent "push" with it as "one"
@@ -113,7 +118,7 @@
     Then "two" ends as unknown 1010
     And "push" ran 1 times
 
-  Scenario: The deadline passes while a push runs, and a repeat gets its answer
+  Scenario: A repeat gets the answer of a push that outlived its deadline
     Given the server desk-1 has faults {"slow_ms": 3000}
     And the server desk-2 has faults {"slow_ms": 3000}
     When "a-1" is sent "push" as "one" with {"key": "k", "deadline_ms": 1000}
@@ -124,7 +129,7 @@
     Then "two" ends as done
     And "push" ran 1 times
 
-  Scenario: A refused request gives its key back
+  Scenario: A refused request releases its key
     Given the server small-1 has faults {"down": true}
     And the server small-2 has faults {"down": true}
     When "a-1" is sent "push" as "one" with {"key": "k"}
@@ -143,7 +148,7 @@
     Then "one" ends as unknown 3006
     And "encode" ran 1 times
 
-  Scenario: A key whose record was dropped for want of room is not run again
+  Scenario: A request whose key record was evicted is not run again
     Given instance a-1 keeps at most 2 records of keys
     When "a-1" issues a key and is sent "push" with it as "one"
     And 100 ms pass
--- a/features/basics.py
+++ b/features/basics.py
@@ -1,7 +1,7 @@
-# basics.py -- A small configuration that scenarios share
+# basics.py -- A small configuration for scenarios with a fleet, and a function that sends requests
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
-"""A small configuration that scenarios share."""
+"""A small configuration for scenarios with a fleet, and a function that sends requests."""
 
 import hashlib
 
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,8 +1,8 @@
-# environment.py -- Fixtures that scenarios share
+# environment.py -- Fixtures of scenarios: a stack for cleanup and fleets on a virtual clock
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Fixtures that scenarios share."""
+"""Fixtures of scenarios: a stack for cleanup and fleets on a virtual clock."""
 
 from gevent import monkey
 
--- a/features/faultrun.feature
+++ b/features/faultrun.feature
@@ -1,8 +1,12 @@
-Feature: The promises hold under faults that come at random, together and twice
+Feature: The invariants hold under random faults
+  Faults of backend servers, instances, links and the store are drawn from a seed; they overlap and
+  repeat while requests are sent. A mutation that breaks an invariant must be detected, since a
+  check that detects nothing would pass as well.
+
   Scenario Outline: Seeded faults over two data centres of three instances
-    When faults with seeds <first> to <last> are brought about under load
-    Then no promise is broken
-    And requests were answered, refused and cut off by the death of instances
+    When faults from seeds <first> to <last> are injected under load
+    Then no invariant is violated
+    And requests were answered, refused and interrupted by crashes of instances
 
     Examples:
       | first | last |
@@ -11,23 +15,23 @@
       | 10    | 14   |
       | 15    | 19   |
 
-  Scenario: One seed gives the same run every time
-    When faults with seed 3 are brought about twice
+  Scenario: The same seed gives the same run
+    When faults from seed 3 are injected twice
     Then both runs have the same calls and outcomes
 
-  Scenario Outline: A fault of our own put in on purpose is found
-    When the product is changed so that it <mutation>
-    Then the broken promise is "<promise>"
+  Scenario Outline: A mutation of the code is detected
+    When the code is mutated so that it <mutation>
+    Then the violated invariant is "<invariant>"
 
     Examples:
-      | mutation                                   | promise                          |
-      | hands out the answer of another request    | answers reach their own caller   |
-      | takes a stream that was cut for whole      | answers are whole                |
-      | forgets what it dispatched                 | not run means not run            |
-      | runs keys without a claim                  | non-idempotent runs at most once |
+      | mutation                                   | invariant                        |
+      | returns the answer of another request      | answers reach their own caller   |
+      | treats a stream that was cut as complete   | answers are whole                |
+      | does not record what it dispatched         | not run means not run            |
+      | runs requests with keys without a claim    | non-idempotent runs at most once |
       | repeats non-idempotent stages              | non-idempotent runs at most once |
       | ignores selectors                          | selectors are met                |
-      | serves before it knows the newest revision | revisions never fall             |
-      | takes every conflict for its own change    | accepted changes are kept        |
+      | is ready before it has the newest revision | revisions never fall             |
+      | treats every conflict as its own change    | accepted changes are kept        |
       | waits for a push without a deadline        | answers come in time             |
-      | never asks peers for changes               | changes reach every instance     |
+      | does not request changes from peers        | changes reach every instance     |
--- a/features/run.py
+++ b/features/run.py
@@ -1,8 +1,11 @@
-# run.py -- Run every scenario and close with one line of counts
+# run.py -- Runs scenarios and prints how many passed and failed
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Run every scenario and close with one line of counts."""
+"""Runs scenarios and prints how many passed and failed.
+
+Failures that KNOWN-RED.txt lists are printed and do not count as failed.
+"""
 
 import sys
 from pathlib import Path
@@ -18,7 +21,7 @@
 
 
 def main() -> int:
-    """Run the scenarios named on the command line, or all, and print how many passed."""
+    """Run the features named on the command line, or all, and return the exit status."""
     arguments = sys.argv[1:] or ["features"]
     configuration = Configuration(["--format", "progress", "--no-capture", *arguments])
     runner = Runner(configuration)
@@ -35,7 +38,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the names of the scenarios that KNOWN-RED.txt lists, at most a few."""
+    """Return the names of the scenarios that KNOWN-RED.txt lists."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return {line.partition("|")[0].strip() for line in lines if line and not line.startswith("#")}
 
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,8 +1,8 @@
-# configuration_steps.py -- Steps about the configuration log
+# configuration_steps.py -- Steps that change the configuration and check its revisions
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about the configuration log."""
+"""Steps that change the configuration and check its revisions."""
 
 import dataclasses
 
@@ -33,7 +33,7 @@
     context.run(lambda: context.fleet.change_configuration([labelled(context, name, text)]))
 
 
-@when('an operator fails with {code:d} to label "{name}" with {text}')
+@when('an operator fails to label "{name}" with {text}, code {code:d}')
 def label_fails(context, code, name, text):
     team = context.fleet.runtimes["a-1"].follower.configuration.documents[f"team/{name}"]
 
@@ -83,7 +83,7 @@
     assert len(log_of(context).since(1)) == 1
 
 
-@then("the history holds {number:d} changes")
+@then("the change log holds {number:d} changes")
 def history(context, number):
     assert len(log_of(context).since(0)) == number
 
@@ -147,7 +147,7 @@
     context.run(work)
 
 
-@then("an instance that is given change 3 before change 2 stays at revision 1")
+@then("a follower that receives change 3 before change 2 stays at revision 1")
 def out_of_order(context):
     follower = Follower(log_of(context), context.clock)
     assert follower.poll()
@@ -160,7 +160,7 @@
     assert follower.configuration.revision == 3
 
 
-@when("a peer sends {name} the whole configuration of revision {revision:d}")
+@when("a peer sends {name} a snapshot of revision {revision:d}")
 def whole_configuration(context, name, revision):
     log = log_of(context)
     older = Configuration()
@@ -173,7 +173,7 @@
     context.run(peers.handle, Snapshot(older.encode()), link)
 
 
-@given("the product is changed so that a follower adopts any whole configuration")
+@given("the code is mutated so that a follower adopts any snapshot")
 def adopts_any(context):
     def replace(self, configuration):
         self.configuration = configuration
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,8 +1,8 @@
-# fleet_steps.py -- Steps that build and use a fleet
+# fleet_steps.py -- Steps that start a fleet, send requests and check their outcomes
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps that build and use a fleet."""
+"""Steps that start a fleet, send requests and check their outcomes."""
 
 import json
 
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -1,8 +1,8 @@
-# order_steps.py -- Steps about leases and orders to engines
+# order_steps.py -- Steps about the lease and the orders by which engines load models
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about leases and orders to engines."""
+"""Steps about the lease and the orders by which engines load models."""
 
 import dataclasses
 
@@ -62,7 +62,7 @@
         orders.follower.configuration = context.configuration
 
 
-@given("model new-model with {new:d} replicas is wanted beside old-model with {old:d}")
+@given("the configuration asks for {new:d} replicas of new-model and {old:d} of old-model")
 def wanted(context, new, old):
     configure(context, model("new-model", new), model("old-model", old))
 
@@ -90,7 +90,7 @@
     context.run(work)
 
 
-@when("holders {names} step for {ms:d} ms")
+@when("reconcilers {names} run for {ms:d} ms")
 def step(context, names, ms):
     step_for(context, names.split(", "), ms)
 
@@ -102,19 +102,19 @@
     return holding[0], others[0]
 
 
-@when("the holder dies and the other steps for {ms:d} ms")
-@when("the holder is paused while the other steps for {ms:d} ms")
+@when("the lease holder crashes and the other runs for {ms:d} ms")
+@when("the lease holder is paused while the other runs for {ms:d} ms")
 def paused(context, ms):
     context.paused, context.other = split_holders(context)
     step_for(context, [context.other], ms)
 
 
-@when("the other steps for {ms:d} ms")
+@when("the other runs for {ms:d} ms")
 def other_steps(context, ms):
     step_for(context, [context.other], ms)
 
 
-@then("an order of the paused holder is refused with {code:d}")
+@then("an order of the paused lease holder is refused with {code:d}")
 def refused(context, code):
     fence = context.holders[context.paused].lease.fence
     try:
@@ -131,7 +131,7 @@
         loader.ignore_fencing = True
 
 
-@when("the paused holder orders every engine to serve nothing but junk")
+@when("the paused lease holder orders every engine to serve only junk")
 def junk(context):
     fence = context.holders[context.paused].lease.fence
     for loader in context.loaders.values():
@@ -165,14 +165,14 @@
     assert 0 < context.weights.max_pending <= number, context.weights.max_pending
 
 
-@when("the holder is cut off from the store and steps for {ms:d} ms")
+@when("the lease holder is cut off from the store and runs for {ms:d} ms")
 def cut_off(context, ms):
     context.paused, context.other = split_holders(context)
     context.holders[context.paused].lease.table.faults = Faults(down=True)
     step_for(context, [context.paused], ms)
 
 
-@then("the holder sends no more orders")
+@then("the former lease holder sends no more orders")
 def no_more(context):
     orders = context.holders[context.paused]
     before = orders.metrics.counts["orders"]
@@ -190,7 +190,7 @@
             loader.models.clear()
 
 
-@given("old-model is wanted nowhere that it is served")
+@given("the selector of old-model excludes that engine")
 def elsewhere(context):
     configure(context, model("old-model", 2, selector="name != e0"))
 
@@ -200,13 +200,13 @@
     assert len(serving(context, "old-model")) == number
 
 
-@then("{number:d} engines serve old-model elsewhere")
+@then("{number:d} other engines serve old-model")
 def serve_elsewhere(context, number):
     found = serving(context, "old-model")
     assert len(found) == number and "e0" not in found, found
 
 
-@when("holders one, two race for the lease with answers lost")
+@when("reconcilers one, two race for the lease and lose the store's answers")
 def race(context):
     for name in ("one", "two"):
         table = holder(context, name).lease.table
@@ -219,7 +219,7 @@
     context.run(work)
 
 
-@then("at most one of one, two holds it")
+@then("at most one of one, two holds the lease")
 def at_most_one(context):
     assert sum(one.lease.held() for one in context.holders.values()) <= 1
     for orders in context.holders.values():
@@ -228,7 +228,7 @@
     assert sum(one.lease.held() for one in context.holders.values()) == 1
 
 
-@when("version {version} of new-model is wanted")
+@when("the configuration asks for version {version} of new-model")
 def new_version(context, version):
     configure(context, model("new-model", 2, version), model("old-model", 2))
 
@@ -254,7 +254,7 @@
     context.engines.order(context.engine, Order(fence, ((name, "1"),)))
 
 
-@then("it serves {name} in the end")
+@then("it eventually serves {name}")
 def serves_in_the_end(context, name):
     with gevent.Timeout(10):
         while context.engines.state(context.engine).models != ((name, "1"),):
@@ -271,7 +271,7 @@
         raise AssertionError("the order was carried out")
 
 
-@when("it is told to ignore fencing and ordered with fence {fence:d} to serve {name}")
+@when("it is set to ignore fencing and ordered with fence {fence:d} to serve {name}")
 def ignore_over_http(context, fence, name):
     url = f"http://{context.engine.address}/faults"
     urllib3.request("PUT", url, body='{"ignore_fencing": true}')
--- a/features/steps/regression_steps.py
+++ b/features/steps/regression_steps.py
@@ -1,8 +1,8 @@
-# regression_steps.py -- Steps about days that must hold
+# regression_steps.py -- Steps about the regression check of benchmark days
 # Copyright (C) 2026 The mountladder authors
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps about days that must hold."""
+"""Steps about the regression check of benchmark days."""
 
 import importlib.util
 import sys
@@ -14,7 +14,7 @@
 
 
 def load():
-    """Load the tool, which is no part of a package."""
+    """Return the module of bench/regression.py, which belongs to no package."""
     spec = importlib.util.spec_from_file_location("regression", BENCH / "regression.py")
     module = sys.modules["regression"] = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -24,17 +24,17 @@
 regression = load()
 
 
-@given("day {day} has reached {worth:g}, two equal plays {spread:g} apart")
+@given("the bound of day {day} is {worth:g}, with a spread of {spread:g}")
 def reached(context, day, worth, spread):
     context.bound = regression.Bound("large/x.toml", day, worth, spread)
 
 
-@when('it is played with worth {worth:g} and broken rules "{rules}"')
+@when('a run of it has worth {worth:g} and breaks rules "{rules}"')
 def played(context, worth, rules):
     context.play = regression.Play(worth, tuple(rules.split()))
 
 
-@when('it is played with worth {worth:g} and broken rules ""')
+@when('a run of it has worth {worth:g} and breaks rules ""')
 def played_well(context, worth):
     context.play = regression.Play(worth, ())
 
@@ -54,7 +54,7 @@
     return {"head": head, "dirty": False, "why": why, "site": "x", "days": [day]}
 
 
-@given("a journal with a regression play of this commit, one of another, and a trial")
+@given("a journal with a regression run of this commit, one of another commit, and a trial")
 def some_journal(context):
     context.entries = [
         entry("this", regression.WHY, 0.6),
@@ -63,7 +63,7 @@
     ]
 
 
-@then("only the first counts as played")
+@then("only the first counts as done")
 def only_first(context):
     found = regression.played(context.entries, "this")
     assert found == {("x", "scale-1"): regression.Play(0.6, ())}
